--- a/crates/ochreyard-agent/src/leases.rs
+++ b/crates/ochreyard-agent/src/leases.rs
@@ -30,8 +30,8 @@
     /// [`PlatformError`] when the log cannot be read.
     pub async fn take(&mut self, lease: &str, ttl_ms: u64) -> Result<Option<HeldLease>, PlatformError> {
         self.read_to_end().await?;
-        let asked_ms = self.clock.now_ms();
-        if asked_ms < self.table.may_ask_at_ms(lease, self.own, LeaseMargin::default()) {
+        let requested_ms = self.clock.now_ms();
+        if requested_ms < self.table.earliest_request_ms(lease, self.own, LeaseMargin::default()) {
             return Ok(None);
         }
         let replaces = self.table.current(lease).map(|current| current.token);
@@ -45,7 +45,7 @@
         if won.is_none() {
             appended?;
         }
-        Ok(won.map(|current| HeldLease { token: current.token, asked_ms, ttl_ms }))
+        Ok(won.map(|current| HeldLease { token: current.token, requested_ms, ttl_ms }))
     }
 
     async fn read_to_end(&mut self) -> Result<(), PlatformError> {
@@ -55,7 +55,7 @@
             for record in &page.records {
                 // A record that cannot be read counts as nothing.
                 if let Ok(parsed) = serde_json::from_str::<LeaseRecord>(&record.text) {
-                    self.table.read(record.offset, &parsed, now_ms);
+                    self.table.apply(record.offset, &parsed, now_ms);
                 }
                 self.cursor = record.offset + 1;
             }
--- a/crates/ochreyard-agent/src/rebalancer.rs
+++ b/crates/ochreyard-agent/src/rebalancer.rs
@@ -4,7 +4,9 @@
 
 use ochreyard_core::lease::{HeldLease, LeaseMargin};
 use ochreyard_core::map_switch::{MapSwitch, OrderEnvelope, RankReply, SwitchOutcome, SwitchSettings};
-use ochreyard_core::rebalance::{Budgeted, Placement, RebalanceSettings, Slowness, diagnose, skew};
+use ochreyard_core::rebalance::{
+    BudgetedRebalancer, Placement, RebalanceSettings, SlowStepCause, diagnose_slow_steps, skew,
+};
 use ochreyard_endpoint::{EndpointClient, ExpertReport};
 use ochreyard_platform::{HttpPlatform, WeightStore};
 use ochreyard_process::Clock;
@@ -39,7 +41,7 @@
     /// Watches the group for as long as the agent runs.
     pub async fn run(mut self, every_ms: u64) {
         let mut interval = tokio::time::interval(Duration::from_millis(every_ms));
-        let mut policy: Option<Budgeted> = None;
+        let mut policy: Option<BudgetedRebalancer> = None;
         let mut cleaned_up = false;
         loop {
             interval.tick().await;
@@ -48,16 +50,16 @@
                 cleaned_up = self.clean_up(&report).await;
                 continue;
             }
-            let policy = policy.get_or_insert_with(|| Budgeted::new(self.settings, report.counts.len()));
+            let policy = policy.get_or_insert_with(|| BudgetedRebalancer::new(self.settings, report.counts.len()));
             cleaned_up = self.look(policy, &report).await;
         }
     }
 
     /// Looks at one interval. Says whether no change was left half-way.
-    async fn look(&mut self, policy: &mut Budgeted, report: &ExpertReport) -> bool {
+    async fn look(&mut self, policy: &mut BudgetedRebalancer, report: &ExpertReport) -> bool {
         let rank_loads = report.placement.rank_loads(&report.counts);
         metrics::gauge!("ochreyard_agent_skew_ratio").set(skew(&rank_loads));
-        if let Slowness::Stalled(rank) = diagnose(&report.rank_times_us, &rank_loads) {
+        if let SlowStepCause::Stalled(rank) = diagnose_slow_steps(&report.rank_times_us, &rank_loads) {
             metrics::counter!("ochreyard_agent_stalled_ranks_total").increment(1);
             log::warn!("event=rank_stalled rank={rank}");
             return true;
--- a/crates/ochreyard-core/examples/plan_cost.rs
+++ b/crates/ochreyard-core/examples/plan_cost.rs
@@ -18,14 +18,14 @@
 /// Time to copy one expert unless one is given, in milliseconds.
 const COPY_MS: f64 = 18.0;
 
-fn settings(places: usize, copy_ms: f64) -> PlanSettings {
+fn settings(slots: usize, copy_ms: f64) -> PlanSettings {
     PlanSettings {
-        places,
-        spare: places - 1,
+        slots,
+        spare_slots: slots - 1,
         copy_ms,
         switch_ms: 250.0,
-        copy_drag: 0.15,
-        copy_cost: 1.0,
+        copy_slowdown: 0.15,
+        copy_time_cost: 1.0,
         horizon_ms: 2_500.0,
         copy_price_ms: 0.2,
         least_saving_ms: 60.0,
@@ -49,9 +49,9 @@
 
 fn main() {
     let copy_ms = std::env::args().nth(1).and_then(|given| given.parse().ok()).unwrap_or(COPY_MS);
-    for (ranks, sets, experts, places) in GROUPS {
-        let planner = Planner::new(settings(places, copy_ms));
-        let present = GroupPlacement::dealt(sets, experts, ranks);
+    for (ranks, sets, experts, slots) in GROUPS {
+        let planner = Planner::new(settings(slots, copy_ms));
+        let present = GroupPlacement::round_robin(sets, experts, ranks);
         let paces = vec![1.0; ranks];
         let mut after = 0.0;
         let started = Instant::now();
--- a/crates/ochreyard-core/examples/rebalance.rs
+++ b/crates/ochreyard-core/examples/rebalance.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use ochreyard_core::hash;
-use ochreyard_core::rebalance::{Budgeted, Placement, Predictor, RebalanceSettings, skew};
+use ochreyard_core::rebalance::{BudgetedRebalancer, Placement, Predictor, RebalanceSettings, skew};
 
 const INTERVALS: usize = 24 * 60;
 const TOKENS: f64 = 200_000.0;
@@ -78,7 +78,7 @@
 enum Policy {
     Never,
     Full(Predictor),
-    Budgeted(Budgeted),
+    Budgeted(BudgetedRebalancer),
 }
 
 fn run(mut policy: Policy, shape: &Shape, trace: &[Vec<f64>]) -> Score {
@@ -91,8 +91,9 @@
             Policy::Never => continue,
             Policy::Full(predictor) => {
                 predictor.observe(counts);
-                let next = Placement::greedy(predictor.shares(), shape.ranks, shape.slots).relabelled(&placement);
-                let moves = placement.moves_to(&next);
+                let next =
+                    Placement::greedy(predictor.shares(), shape.ranks, shape.slots).relabeled_to_match(&placement);
+                let moves = placement.copies_to_reach(&next);
                 (next, moves)
             }
             Policy::Budgeted(budgeted) => {
@@ -126,7 +127,7 @@
                 let policies = [
                     ("never", Policy::Never),
                     ("full", Policy::Full(Predictor::new(shape.experts))),
-                    ("budgeted", Policy::Budgeted(Budgeted::new(settings, shape.experts))),
+                    ("budgeted", Policy::Budgeted(BudgetedRebalancer::new(settings, shape.experts))),
                 ];
                 for (name, policy) in policies {
                     let score = run(policy, shape, &trace);
--- a/crates/ochreyard-core/src/group_map/arming_times.rs
+++ b/crates/ochreyard-core/src/group_map/arming_times.rs
@@ -1,6 +1,6 @@
 //! How long ranks take to arm a map, of late: a step that is held may wait for it.
 
-use super::controller::Phase;
+use super::controller::ChangePhase;
 
 /// Share of one more change in the mean: three quick ones make up for a slow one.
 const NEWEST_SHARE: f64 = 0.5;
@@ -14,9 +14,9 @@
 
 impl ArmingTimes {
     /// The controller has come to another phase.
-    pub fn on_phase(&mut self, phase: &Phase, now_ms: u64) {
+    pub fn on_phase(&mut self, phase: &ChangePhase, now_ms: u64) {
         let began_ms = self.began_ms.take();
-        if matches!(phase, Phase::Arming { .. }) {
+        if matches!(phase, ChangePhase::Arming { .. }) {
             self.began_ms = Some(now_ms);
             return;
         }
--- a/crates/ochreyard-core/src/group_map/candidacy.rs
+++ b/crates/ochreyard-core/src/group_map/candidacy.rs
@@ -69,7 +69,7 @@
 
     /// This entry has asked. Unless somebody leads by then, it asks again later, each time
     /// after a longer pause.
-    pub const fn on_tried(&mut self, now_ms: u64) {
+    pub const fn on_attempt(&mut self, now_ms: u64) {
         self.waits_until_ms = now_ms + (RETRY_MS << self.tried_in_turn);
         if self.tried_in_turn < MAX_DOUBLINGS {
             self.tried_in_turn += 1;
@@ -84,7 +84,7 @@
 /// quarter core and 40 megabits a second needs. Among boxes alike, the order differs
 /// from service to service, so that one box does not lead all of them.
 #[must_use]
-pub fn candidate_place(service: &str, own: (&str, &BoxRecord), others: &BoxList) -> usize {
+pub fn candidate_position(service: &str, own: (&str, &BoxRecord), others: &BoxList) -> usize {
     let key = |(name, record): (&str, &BoxRecord)| {
         let drawn = hash::mix(hash::fnv1a(service.as_bytes()) ^ hash::fnv1a(name.as_bytes()));
         (Reverse(record.cores_permille), Reverse(record.link_mbps), drawn)
--- a/crates/ochreyard-core/src/group_map/controller.rs
+++ b/crates/ochreyard-core/src/group_map/controller.rs
@@ -23,9 +23,9 @@
 mod round;
 mod settings;
 
-pub use self::phase::Phase;
+pub use self::phase::ChangePhase;
 pub use self::round::Round;
-pub use self::settings::ControllerSettings;
+pub use self::settings::MapControllerSettings;
 use super::order::{Order, OrderOutcome, RankView, SentOrder};
 use super::placement::GroupPlacement;
 
@@ -38,15 +38,15 @@
 
 /// The orders of one leader for one group.
 #[derive(Debug, Clone)]
-pub struct Controller {
-    settings: ControllerSettings,
-    phase: Phase,
+pub struct MapController {
+    settings: MapControllerSettings,
+    phase: ChangePhase,
     since_ms: u64,
     next_sent_ms: u64,
     pause_until_ms: u64,
     timeout_ms: u64,
     target: Option<GroupPlacement>,
-    present: Option<(u64, GroupPlacement)>,
+    current_map: Option<(u64, GroupPlacement)>,
     epoch: Option<u64>,
     hold_rank: usize,
     version_mark: u64,
@@ -63,22 +63,22 @@
     undone: u64,
 }
 
-impl Controller {
+impl MapController {
     /// A controller that knows nothing of the group yet. Its holds are placed at
     /// `hold_rank`. `life` marks its numbers of maps.
     #[must_use]
-    pub const fn new(settings: ControllerSettings, hold_rank: usize, life: u64) -> Self {
+    pub const fn new(settings: MapControllerSettings, hold_rank: usize, life: u64) -> Self {
         Self {
             settings,
             hold_rank,
             version_mark: life % VERSION_MARKS,
-            phase: Phase::Idle,
+            phase: ChangePhase::Idle,
             since_ms: 0,
             next_sent_ms: 0,
             pause_until_ms: 0,
             timeout_ms: 0,
             target: None,
-            present: None,
+            current_map: None,
             epoch: None,
             highest_version: 0,
             refused_in_turn: 0,
@@ -93,28 +93,28 @@
     /// Begins to lead, or to lead again: everything is forgotten but the numbers of
     /// maps, since orders of an earlier time may still be carried out.
     #[must_use]
-    pub const fn renewed(&self, hold_rank: usize) -> Self {
-        let mut renewed = Self::new(self.settings, hold_rank, self.version_mark);
-        renewed.highest_version = self.highest_version;
-        renewed
+    pub const fn restarted(&self, hold_rank: usize) -> Self {
+        let mut restarted = Self::new(self.settings, hold_rank, self.version_mark);
+        restarted.highest_version = self.highest_version;
+        restarted
     }
 
     /// Where it stands.
     #[must_use]
-    pub const fn phase(&self) -> &Phase {
+    pub const fn phase(&self) -> &ChangePhase {
         &self.phase
     }
 
     /// Whether a change or a clean-up is under way, so that ranks should be asked often.
     #[must_use]
     pub fn is_busy(&self) -> bool {
-        self.phase != Phase::Idle
+        self.phase != ChangePhase::Idle
     }
 
     /// Whether experts are being copied, which takes long and needs no haste.
     #[must_use]
     pub const fn is_copying(&self) -> bool {
-        matches!(self.phase, Phase::Preparing { .. })
+        matches!(self.phase, ChangePhase::Preparing { .. })
     }
 
     /// The rank at which holds are placed.
@@ -125,56 +125,56 @@
 
     /// Whether a hold is to be placed and confirmed next.
     #[must_use]
-    pub const fn is_holding(&self) -> bool {
-        matches!(self.phase, Phase::Holding { .. })
+    pub const fn is_placing_hold(&self) -> bool {
+        matches!(self.phase, ChangePhase::Holding { .. })
     }
 
     /// Whether ranks must be reached even where their agents are down.
     #[must_use]
     pub const fn must_reach_all(&self) -> bool {
-        matches!(self.phase, Phase::Backing { .. } | Phase::Undoing | Phase::Releasing)
+        matches!(self.phase, ChangePhase::Backing { .. } | ChangePhase::Undoing | ChangePhase::Releasing)
     }
 
     /// Changes that came into use, and changes that were undone.
     #[must_use]
-    pub const fn counts(&self) -> (u64, u64) {
+    pub const fn change_counts(&self) -> (u64, u64) {
         (self.switched, self.undone)
     }
 
     /// The placement that is known to be in use, and its number.
     #[must_use]
-    pub const fn present(&self) -> Option<&(u64, GroupPlacement)> {
-        self.present.as_ref()
+    pub const fn current_map(&self) -> Option<&(u64, GroupPlacement)> {
+        self.current_map.as_ref()
     }
 
     /// Sets the placement that the ranks told of map `version`.
-    pub fn set_present(&mut self, version: u64, placement: GroupPlacement) {
-        self.present = Some((version, placement));
+    pub fn set_current_map(&mut self, version: u64, placement: GroupPlacement) {
+        self.current_map = Some((version, placement));
     }
 
     /// Whether a change has been released, and the step that begins with it is about to come.
     #[must_use]
     pub fn is_about_to_switch(&self, views: &[Option<RankView>]) -> bool {
         let is_due = |view: &RankView| view.armed.is_some() && view.running > 0;
-        self.phase == Phase::Idle && views.iter().flatten().any(is_due)
+        self.phase == ChangePhase::Idle && views.iter().flatten().any(is_due)
     }
 
     /// Whether the map of this number is known: it is in use, or armed and released.
     #[must_use]
     pub fn knows_map_of(&self, view: &RankView) -> bool {
-        let Some((version, _)) = self.present.as_ref() else { return false };
+        let Some((version, _)) = self.current_map.as_ref() else { return false };
         *version == view.map || view.armed.is_some_and(|armed| armed.version == *version)
     }
 
     /// Whether a new map may be proposed, given these views.
     #[must_use]
-    pub fn takes_proposal(&self, views: &[Option<RankView>], now_ms: u64) -> bool {
+    pub fn accepts_proposal(&self, views: &[Option<RankView>], now_ms: u64) -> bool {
         let Some(views) = all_of_one_epoch(views) else { return false };
         let map = views[0].map;
-        self.phase == Phase::Idle
+        self.phase == ChangePhase::Idle
             && self.clear_from.is_some_and(|step| newest_step(&views) >= step)
             && now_ms >= self.pause_until_ms
-            && self.present.as_ref().is_some_and(|(version, _)| *version == map)
+            && self.current_map.as_ref().is_some_and(|(version, _)| *version == map)
             && views.iter().all(|view| view.is_open && !view.is_busy && view.map == map)
             && views.iter().all(|view| view.armed.is_none() && view.held.is_none())
     }
@@ -182,18 +182,18 @@
     /// Whether a change that has only copied so far may give way to another one. Its map
     /// is armed nowhere, and the next one gets a higher number.
     #[must_use]
-    pub fn may_give_way(&self, views: &[Option<RankView>]) -> bool {
+    pub fn is_preemptible(&self, views: &[Option<RankView>]) -> bool {
         let is_untouched = |view: &&RankView| view.armed.is_none() && view.held.is_none() && view.is_open;
         self.is_copying() && all_of_one_epoch(views).is_some_and(|views| views.iter().all(is_untouched))
     }
 
-    /// Starts a change; `copies_of_rank` is the most that one rank copies.
-    pub fn propose(&mut self, placement: GroupPlacement, copies_of_rank: usize, now_ms: u64) {
+    /// Starts a change; `max_copies_per_rank` is the most that one rank copies.
+    pub fn propose(&mut self, placement: GroupPlacement, max_copies_per_rank: usize, now_ms: u64) {
         let version = self.next_version();
         self.target = Some(placement);
-        let copying_ms = (copies_of_rank as f64 * self.settings.copy_timeout_ms) as u64;
+        let copying_ms = (max_copies_per_rank as f64 * self.settings.timeout_per_copy_ms) as u64;
         self.timeout_ms = copying_ms + self.settings.prepare_slack_ms;
-        self.enter(Phase::Preparing { version }, now_ms);
+        self.enter(ChangePhase::Preparing { version }, now_ms);
     }
 
     /// A number above all that are known, and never used by another leader.
@@ -202,7 +202,7 @@
         self.highest_version
     }
 
-    fn enter(&mut self, phase: Phase, now_ms: u64) {
+    fn enter(&mut self, phase: ChangePhase, now_ms: u64) {
         self.phase = phase;
         self.since_ms = now_ms;
         self.next_sent_ms = now_ms;
@@ -222,7 +222,7 @@
             self.on_new_epoch(&views, now_ms);
         }
         // Earlier leaders placed their holds at most so far ahead of steps that had begun.
-        self.clear_from.get_or_insert(newest_step(&views) + self.settings.lead_steps);
+        self.clear_from.get_or_insert(newest_step(&views) + self.settings.steps_ahead);
         if !views.iter().all(|view| view.is_open) {
             return Vec::new();
         }
@@ -236,9 +236,9 @@
         self.unfenced = vec![None; views.len()];
         self.target = None;
         self.clear_from = None;
-        self.enter(Phase::Idle, now_ms);
-        if self.present.as_ref().is_some_and(|(version, _)| *version != views[0].map) {
-            self.present = None;
+        self.enter(ChangePhase::Idle, now_ms);
+        if self.current_map.as_ref().is_some_and(|(version, _)| *version != views[0].map) {
+            self.current_map = None;
         }
     }
 
@@ -246,9 +246,9 @@
         let waited_ms = self.waited_ms(now_ms);
         let is_broken = views.iter().flatten().any(|view| !view.is_open);
         match self.phase {
-            Phase::Preparing { .. } if waited_ms > self.timeout_ms || is_broken => self.give_up(now_ms),
-            Phase::Holding { .. } if waited_ms > self.settings.hold_timeout_ms => self.undo(now_ms),
-            Phase::Arming { .. } if waited_ms > self.settings.arm_timeout_ms => self.undo(now_ms),
+            ChangePhase::Preparing { .. } if waited_ms > self.timeout_ms || is_broken => self.give_up(now_ms),
+            ChangePhase::Holding { .. } if waited_ms > self.settings.hold_timeout_ms => self.undo(now_ms),
+            ChangePhase::Arming { .. } if waited_ms > self.settings.arm_timeout_ms => self.undo(now_ms),
             _ => {}
         }
     }
@@ -274,7 +274,7 @@
     /// A rank refuses numbers up to the highest that it ever had, which it does not
     /// tell and a new leader does not know: the number is raised in growing steps.
     fn climb_if_refused(&mut self, outcomes: &[(usize, SentOrder, OrderOutcome)], now_ms: u64) {
-        let Phase::Preparing { version } = self.phase else { return };
+        let ChangePhase::Preparing { version } = self.phase else { return };
         let is_refusal = |(_, sent, outcome): &(usize, SentOrder, OrderOutcome)| {
             let is_ours = matches!(sent.order, Order::Prepare { version: sent, .. } if sent == version);
             is_ours && *outcome == OrderOutcome::Refused
@@ -284,7 +284,7 @@
         }
         self.highest_version += VERSION_MARKS << self.refused_in_turn.min(MAX_DOUBLINGS);
         self.refused_in_turn += 1;
-        self.phase = Phase::Preparing { version: self.next_version() };
+        self.phase = ChangePhase::Preparing { version: self.next_version() };
         self.next_sent_ms = now_ms;
     }
 
@@ -300,19 +300,19 @@
     /// Drops a change of which no rank was held or armed.
     fn give_up(&mut self, now_ms: u64) {
         self.drop_change(now_ms);
-        self.enter(Phase::Idle, now_ms);
+        self.enter(ChangePhase::Idle, now_ms);
     }
 
     /// Drops a change that ranks may be held or armed for.
     fn undo(&mut self, now_ms: u64) {
         self.drop_change(now_ms);
-        self.enter(Phase::Undoing, now_ms);
+        self.enter(ChangePhase::Undoing, now_ms);
     }
 
     fn drop_change(&mut self, now_ms: u64) {
         self.undone += 1;
         self.target = None;
-        self.pause_until_ms = now_ms + self.settings.pause_ms;
+        self.pause_until_ms = now_ms + self.settings.failure_pause_ms;
     }
 }
 
--- a/crates/ochreyard-core/src/group_map/controller/advance.rs
+++ b/crates/ochreyard-core/src/group_map/controller/advance.rs
@@ -1,6 +1,6 @@
 //! When a phase of a change has come to its end, and what follows.
 
-use super::{Controller, Phase, newest_step};
+use super::{ChangePhase, MapController, newest_step};
 use crate::group_map::RankView;
 
 /// A step that is being held for a map, and the rank at which.
@@ -11,18 +11,22 @@
     rank: usize,
 }
 
-impl Controller {
+impl MapController {
     /// Goes on to the next phase, if the views say that this one has come to its end.
     pub(super) fn advance(&mut self, views: &[&RankView], now_ms: u64) {
         match self.phase.clone() {
-            Phase::Idle => self.look_for_left_holds(views, now_ms),
-            Phase::Preparing { version } => self.advance_preparing(views, version, now_ms),
-            Phase::Holding { version, step, rank } => self.advance_holding(views, Hold { version, step, rank }, now_ms),
-            Phase::Arming { version, step } => self.advance_arming(views, version, step, now_ms),
-            Phase::Backing { step, rank } => self.advance_backing(views, step, rank, now_ms),
-            Phase::Undoing if self.is_undone(views) => self.enter(Phase::Releasing, now_ms),
-            Phase::Releasing if views.iter().all(|view| view.held.is_none()) => self.enter(Phase::Idle, now_ms),
-            Phase::Undoing | Phase::Releasing => {}
+            ChangePhase::Idle => self.look_for_left_holds(views, now_ms),
+            ChangePhase::Preparing { version } => self.advance_preparing(views, version, now_ms),
+            ChangePhase::Holding { version, step, rank } => {
+                self.advance_holding(views, Hold { version, step, rank }, now_ms)
+            }
+            ChangePhase::Arming { version, step } => self.advance_arming(views, version, step, now_ms),
+            ChangePhase::Backing { step, rank } => self.advance_backing(views, step, rank, now_ms),
+            ChangePhase::Undoing if self.is_undone(views) => self.enter(ChangePhase::Releasing, now_ms),
+            ChangePhase::Releasing if views.iter().all(|view| view.held.is_none()) => {
+                self.enter(ChangePhase::Idle, now_ms)
+            }
+            ChangePhase::Undoing | ChangePhase::Releasing => {}
         }
     }
 
@@ -42,17 +46,17 @@
 
     /// Holds a step that no hold was ever placed for.
     fn hold_ahead(&mut self, views: &[&RankView], version: u64, now_ms: u64) {
-        let step = newest_step(views) + self.settings.lead_steps;
+        let step = newest_step(views) + self.settings.steps_ahead;
         self.clear_from = Some(step);
         let rank = self.hold_rank.min(views.len() - 1);
-        self.enter(Phase::Holding { version, step, rank }, now_ms);
+        self.enter(ChangePhase::Holding { version, step, rank }, now_ms);
     }
 
     fn advance_holding(&mut self, views: &[&RankView], hold: Hold, now_ms: u64) {
         let Hold { version, step, rank } = hold;
         if views[rank].held == Some(step) {
             self.held_step = step;
-            self.enter(Phase::Arming { version, step }, now_ms);
+            self.enter(ChangePhase::Arming { version, step }, now_ms);
         } else if newest_step(views) >= step {
             // The hold was lost, and comes too late from now on. Nothing is armed, and the
             // copies are there.
@@ -66,8 +70,8 @@
         let is_armed = |view: &&RankView| view.armed.is_some_and(|armed| armed.version == version);
         if views.iter().all(is_armed) {
             self.switched += 1;
-            self.present = self.target.take().map(|target| (version, target));
-            self.enter(Phase::Releasing, now_ms);
+            self.current_map = self.target.take().map(|target| (version, target));
+            self.enter(ChangePhase::Releasing, now_ms);
         } else if self.waited_ms(now_ms) > self.settings.arm_timeout_ms || newest_step(views) >= step {
             self.undo(now_ms);
         }
@@ -82,7 +86,7 @@
             self.held_step = step;
             self.undo(now_ms);
         } else if is_late || is_released {
-            self.enter(Phase::Idle, now_ms);
+            self.enter(ChangePhase::Idle, now_ms);
         }
     }
 
@@ -96,7 +100,7 @@
     fn look_for_left_holds(&mut self, views: &[&RankView], now_ms: u64) {
         let Some(held) = views.iter().find_map(|view| view.held) else { return };
         // What is armed may be due before the step that is held.
-        let next = newest_step(views) + self.settings.lead_steps;
+        let next = newest_step(views) + self.settings.steps_ahead;
         let armed = views.iter().filter_map(|view| view.armed).map(|armed| armed.step.unwrap_or(next));
         let step = armed.chain([held]).min().unwrap_or(held);
         self.clear_from = self.clear_from.max(Some(held));
@@ -104,7 +108,7 @@
         self.unfenced = vec![Some(highest); views.len()];
         let own = Some(self.hold_rank).filter(|rank| views.get(*rank).is_some_and(|view| view.held.is_none()));
         match own.or_else(|| views.iter().position(|view| view.held.is_none())) {
-            Some(rank) => self.enter(Phase::Backing { step, rank }, now_ms),
+            Some(rank) => self.enter(ChangePhase::Backing { step, rank }, now_ms),
             None => self.undo(now_ms),
         }
     }
--- a/crates/ochreyard-core/src/group_map/controller/phase.rs
+++ b/crates/ochreyard-core/src/group_map/controller/phase.rs
@@ -2,7 +2,7 @@
 
 /// Where a change stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Phase {
+pub enum ChangePhase {
     /// No change.
     Idle,
     /// The ranks copy experts.
--- a/crates/ochreyard-core/src/group_map/demand.rs
+++ b/crates/ochreyard-core/src/group_map/demand.rs
@@ -28,7 +28,7 @@
     rates: Vec<f64>,
     last_ms: u64,
     usual_distance: f64,
-    is_mixed: bool,
+    is_mostly_stale: bool,
 }
 
 impl Demand {
@@ -36,20 +36,20 @@
     /// their weight after `fade_ms`.
     #[must_use]
     pub fn new(length: usize, fade_ms: f64) -> Self {
-        Self { fade_ms, rates: vec![0.0; length], last_ms: 0, usual_distance: FIRST_USUAL, is_mixed: false }
+        Self { fade_ms, rates: vec![0.0; length], last_ms: 0, usual_distance: FIRST_USUAL, is_mostly_stale: false }
     }
 
     /// Adds what was chosen since the last call. Says whether the demand has shifted:
     /// then all earlier counts are dropped at once.
-    pub fn add(&mut self, chosen: &[f64], now_ms: u64) -> bool {
+    pub fn observe(&mut self, chosen: &[f64], now_ms: u64) -> bool {
         let age_ms = now_ms.saturating_sub(self.last_ms) as f64;
         self.last_ms = now_ms;
-        if !self.is_mixed && self.notes_shift(chosen) {
+        if !self.is_mostly_stale && self.notes_shift(chosen) {
             self.keep_only_new(chosen);
             return true;
         }
-        let keep = if self.is_mixed { 0.0 } else { (-age_ms / self.fade_ms).exp() };
-        self.is_mixed = false;
+        let keep = if self.is_mostly_stale { 0.0 } else { (-age_ms / self.fade_ms).exp() };
+        self.is_mostly_stale = false;
         for (rate, more) in self.rates.iter_mut().zip(chosen) {
             *rate = *rate * keep + more;
         }
@@ -64,7 +64,7 @@
         for (rate, more) in self.rates.iter_mut().zip(chosen) {
             *rate = (more - *rate * scale).max(0.0);
         }
-        self.is_mixed = old_part > MOST_OLD;
+        self.is_mostly_stale = old_part > MOST_OLD;
     }
 
     /// How much of a reading came before the shift: experts that are no longer liked were
@@ -105,8 +105,8 @@
 
     /// Whether the newest counts are those in which a shift came, and most of them are old.
     #[must_use]
-    pub const fn is_mixed(&self) -> bool {
-        self.is_mixed
+    pub const fn is_mostly_stale(&self) -> bool {
+        self.is_mostly_stale
     }
 
     /// The demand by set and expert; only its proportions mean anything.
@@ -125,7 +125,7 @@
 /// What was chosen between two readings of a rank's running counts. After a
 /// restart the counts begin anew, and all of them are news.
 #[must_use]
-pub fn chosen_between(before: &[u64], now: &[u64]) -> Vec<u64> {
+pub fn selections_between(before: &[u64], now: &[u64]) -> Vec<u64> {
     let restarted = before.len() != now.len() || now.iter().zip(before).any(|(now, before)| now < before);
     if restarted {
         return now.to_vec();
--- a/crates/ochreyard-core/src/group_map/grant.rs
+++ b/crates/ochreyard-core/src/group_map/leader_grant.rs
@@ -8,14 +8,14 @@
 
 /// An agent's side: whom it obeys.
 #[derive(Debug, Clone)]
-pub struct Grant {
+pub struct LeaderGrant {
     lease_ms: u64,
     quiet_until_ms: u64,
     holder: Option<LeaderId>,
     until_ms: u64,
 }
 
-impl Grant {
+impl LeaderGrant {
     /// The grant of an agent that starts now.
     #[must_use]
     pub const fn new(lease_ms: u64, now_ms: u64) -> Self {
@@ -24,9 +24,9 @@
 
     /// Grants or renews for `lease_ms`, unless another one holds it, or that is longer than
     /// this agent keeps quiet after its start.
-    pub fn ask(&mut self, leader: &LeaderId, lease_ms: u64, now_ms: u64) -> bool {
+    pub fn try_grant(&mut self, leader: &LeaderId, lease_ms: u64, now_ms: u64) -> bool {
         let is_led_by_other = self.holder(now_ms).is_some_and(|holder| holder != leader);
-        if self.is_quiet(now_ms) || is_led_by_other || lease_ms > self.lease_ms {
+        if self.is_in_startup_delay(now_ms) || is_led_by_other || lease_ms > self.lease_ms {
             return false;
         }
         self.holder = Some(*leader);
@@ -49,7 +49,7 @@
 
     /// Whether an agent that has just started still keeps quiet.
     #[must_use]
-    pub const fn is_quiet(&self, now_ms: u64) -> bool {
+    pub const fn is_in_startup_delay(&self, now_ms: u64) -> bool {
         now_ms < self.quiet_until_ms
     }
 }
--- a/crates/ochreyard-core/src/group_map/leadership.rs
+++ b/crates/ochreyard-core/src/group_map/leadership.rs
@@ -1,4 +1,4 @@
-//! A leader's side of the grants: see [`Grant`](super::Grant).
+//! A leader's side of the grants: see [`LeaderGrant`](super::Grant).
 
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
 
     /// Whether more than half of `size` agents have granted it for at least `margin_ms` more.
     #[must_use]
-    pub fn holds(&self, size: usize, now_ms: u64, margin_ms: u64) -> bool {
+    pub fn has_majority(&self, size: usize, now_ms: u64, margin_ms: u64) -> bool {
         let granted = self.granted_until_ms.iter().filter(|(rank, _)| **rank < size);
         granted.filter(|(_, until)| now_ms + margin_ms < **until).count() * 2 > size
     }
--- a/crates/ochreyard-core/src/group_map/map_change.rs
+++ b/crates/ochreyard-core/src/group_map/map_delta.rs
@@ -14,22 +14,22 @@
 const ADDED_END: char = ',';
 
 /// The experts of a map by set and rank.
-pub type Experts = Vec<Vec<Vec<u16>>>;
+pub type ExpertMap = Vec<Vec<Vec<u16>>>;
 
 /// The way from one map to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MapChange {
+pub struct MapDelta {
     /// Number of the map that it starts from.
     pub base: u64,
     /// For each rank of a set that changes: set, rank, what it gives up, what it gets.
     changes: String,
 }
 
-impl MapChange {
+impl MapDelta {
     /// The way from map number `base` to `after`; `None` where the two differ in
     /// the number of sets or ranks.
     #[must_use]
-    pub fn between(base: u64, before: &Experts, after: &Experts) -> Option<Self> {
+    pub fn between(base: u64, before: &ExpertMap, after: &ExpertMap) -> Option<Self> {
         if !have_same_shape(before, after) {
             return None;
         }
@@ -46,7 +46,7 @@
     /// The experts of a rank come out sorted, as in every [`GroupPlacement`](super::GroupPlacement):
     /// engines that got the whole map and engines that got this one must hold the same.
     #[must_use]
-    pub fn apply(&self, before: &Experts) -> Option<Experts> {
+    pub fn apply(&self, before: &ExpertMap) -> Option<ExpertMap> {
         let mut after = before.clone();
         let mut rest = self.changes.as_str();
         while !rest.is_empty() {
@@ -63,7 +63,7 @@
     }
 }
 
-fn have_same_shape(before: &Experts, after: &Experts) -> bool {
+fn have_same_shape(before: &ExpertMap, after: &ExpertMap) -> bool {
     let is_alike = |(before, after): (&Vec<Vec<u16>>, &Vec<Vec<u16>>)| before.len() == after.len();
     before.len() == after.len() && before.iter().zip(after).all(is_alike)
 }
--- a/crates/ochreyard-core/src/group_map/mean_skew.rs
+++ b/crates/ochreyard-core/src/group_map/mean_skew.rs
@@ -12,7 +12,7 @@
 
 impl MeanSkew {
     /// The skew that a round showed.
-    pub fn note(&mut self, skew: f64, now_ms: u64) {
+    pub fn observe(&mut self, skew: f64, now_ms: u64) {
         let age_ms = now_ms.saturating_sub(self.noted_ms) as f64;
         let keep = (-age_ms / FADE_MS).exp();
         self.mean = Some(self.mean.map_or(skew, |mean| keep * mean + (1.0 - keep) * skew));
--- a/crates/ochreyard-core/src/group_map/order.rs
+++ b/crates/ochreyard-core/src/group_map/order.rs
@@ -40,7 +40,7 @@
 impl Order {
     /// About how many bytes it takes as a message.
     #[must_use]
-    pub fn size_hint(&self) -> usize {
+    pub fn estimated_bytes(&self) -> usize {
         const HEAD_BYTES: usize = 100;
         const EXPERT_BYTES: usize = 2;
         match self {
@@ -77,7 +77,7 @@
 
 /// What is armed at a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Armed {
+pub struct ArmedMap {
     /// Number of the map.
     pub version: u64,
     /// The first step that uses it, if the rank tells.
@@ -114,7 +114,7 @@
     pub prepared: Option<u64>,
     /// The map that is armed.
     #[serde(default, skip_serializing_if = "is_default")]
-    pub armed: Option<Armed>,
+    pub armed: Option<ArmedMap>,
     /// The step that is held.
     #[serde(default, skip_serializing_if = "is_default")]
     pub held: Option<u64>,
--- a/crates/ochreyard-core/src/group_map/placement.rs
+++ b/crates/ochreyard-core/src/group_map/placement.rs
@@ -13,7 +13,7 @@
 impl GroupPlacement {
     /// The placement that a group starts with: experts dealt in turn.
     #[must_use]
-    pub fn dealt(sets: usize, experts: usize, ranks: usize) -> Self {
+    pub fn round_robin(sets: usize, experts: usize, ranks: usize) -> Self {
         let of_rank = |rank: usize| (rank..experts).step_by(ranks.max(1)).map(as_expert).collect();
         let set: Vec<Vec<u16>> = (0..ranks).map(of_rank).collect();
         Self { experts, sets: vec![set; sets] }
--- a/crates/ochreyard-core/src/group_map/planner.rs
+++ b/crates/ochreyard-core/src/group_map/planner.rs
@@ -6,12 +6,12 @@
 //! that gives most over the horizon is chosen.
 
 mod plan_settings;
-mod planned;
+mod planned_map;
 mod set_change;
 mod set_search;
 
 pub use self::plan_settings::PlanSettings;
-pub use self::planned::Planned;
+pub use self::planned_map::PlannedMap;
 use self::set_change::SetChange;
 use self::set_search::SetSearch;
 use super::placement::GroupPlacement;
@@ -40,7 +40,7 @@
 struct Stop {
     steps: usize,
     saving_ms: f64,
-    copies_of_rank: usize,
+    max_copies_per_rank: usize,
     skew: (f64, f64),
 }
 
@@ -60,12 +60,12 @@
     /// The change that saves most over the horizon, if one saves enough. `paces` holds
     /// how much longer work takes at each rank than usual.
     #[must_use]
-    pub fn plan(&self, present: &GroupPlacement, demand: &[f64], paces: &[f64]) -> Option<Planned> {
+    pub fn plan(&self, present: &GroupPlacement, demand: &[f64], paces: &[f64]) -> Option<PlannedMap> {
         let planned = self.best_change(present, demand, paces);
         if planned.is_some() || present.skew(demand, paces) < LARGE_SKEW {
             return planned;
         }
-        let settings = PlanSettings { copy_cost: self.settings.copy_drag, ..self.settings };
+        let settings = PlanSettings { copy_time_cost: self.settings.copy_slowdown, ..self.settings };
         Self::new(settings).best_change(present, demand, paces)
     }
 
@@ -75,7 +75,7 @@
     /// the map is taken as it was when the saving was largest. The steps up to there are
     /// made once more at the end: copies of the sets, one for each step that saves more than
     /// all before, took half of a search for 96 ranks.
-    fn best_change(&self, present: &GroupPlacement, demand: &[f64], paces: &[f64]) -> Option<Planned> {
+    fn best_change(&self, present: &GroupPlacement, demand: &[f64], paces: &[f64]) -> Option<PlannedMap> {
         let total: f64 = demand.iter().sum();
         let ranks = present.sets().first().map_or(0, Vec::len);
         if total <= 0.0 || ranks == 0 {
@@ -91,17 +91,17 @@
             let Some(step) = self.make_best_step(&mut searches, &mut copies) else { break };
             steps.push(step);
             let skew = (skew_before, skew_of(&searches, mean));
-            let copies_of_rank = copies.iter().copied().max().unwrap_or(0);
-            let saving_ms = self.saving_ms(skew, copies_of_rank, copies.iter().sum());
+            let max_copies_per_rank = copies.iter().copied().max().unwrap_or(0);
+            let saving_ms = self.saving_ms(skew, max_copies_per_rank, copies.iter().sum());
             if best.as_ref().is_none_or(|best| saving_ms > best.saving_ms) {
-                best = Some(Stop { steps: steps.len(), saving_ms, copies_of_rank, skew });
+                best = Some(Stop { steps: steps.len(), saving_ms, max_copies_per_rank, skew });
             }
         }
-        let Stop { steps: count, saving_ms, copies_of_rank, skew } =
+        let Stop { steps: count, saving_ms, max_copies_per_rank, skew } =
             best.filter(|best| best.saving_ms >= self.settings.least_saving_ms)?;
         let mut sets = present.sets().to_vec();
         steps[..count].iter().for_each(|step| step.change.apply_to(&mut sets[step.set]));
-        Some(Planned { placement: present.with_sets(sets), saving_ms, copies_of_rank, skew })
+        Some(PlannedMap { placement: present.with_sets(sets), saving_ms, max_copies_per_rank, skew })
     }
 
     /// A search for each set.
@@ -136,12 +136,12 @@
 
     /// The one formula: what the new map saves once it is in use, less what the time and
     /// the number of its copies cost.
-    fn saving_ms(&self, skew: (f64, f64), copies_of_rank: usize, copies: usize) -> f64 {
+    fn saving_ms(&self, skew: (f64, f64), max_copies_per_rank: usize, copies: usize) -> f64 {
         let settings = &self.settings;
-        let copying_ms = copies_of_rank as f64 * settings.copy_ms;
+        let copying_ms = max_copies_per_rank as f64 * settings.copy_ms;
         let in_use_ms = (settings.horizon_ms - copying_ms - settings.switch_ms).max(0.0);
         let gain = (skew.0 - skew.1) / skew.0.max(1.0);
-        gain * in_use_ms - settings.copy_cost * copying_ms - settings.copy_price_ms * copies as f64
+        gain * in_use_ms - settings.copy_time_cost * copying_ms - settings.copy_price_ms * copies as f64
     }
 }
 
--- a/crates/ochreyard-core/src/group_map/planner/set_search.rs
+++ b/crates/ochreyard-core/src/group_map/planner/set_search.rs
@@ -161,7 +161,7 @@
     ) {
         let add = Some((expert, rank));
         let moved = Some((expert, hot));
-        if self.set[rank].len() < self.settings.places {
+        if self.set[rank].len() < self.settings.slots {
             consider(SetChange { add, drop: [None, None], add_back: None, gain: 0.0 });
             consider(SetChange { add, drop: [moved, None], add_back: None, gain: 0.0 });
         }
@@ -184,7 +184,7 @@
             return true;
         }
         let new = self.set[rank].iter().filter(|held| !self.former[rank].contains(held)).count();
-        copies[rank] < most_copies && new < self.settings.spare
+        copies[rank] < most_copies && new < self.settings.spare_slots
     }
 
     /// By how much a change lowers the load of the most loaded rank, softly: see [`NORM`].
--- a/crates/ochreyard-core/src/group_map/chosen_counts.rs
+++ b/crates/ochreyard-core/src/group_map/selection_counts.rs
@@ -10,14 +10,14 @@
 
 /// Counts by set and expert, each as a multiple of one unit.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ChosenCounts {
+pub struct SelectionCounts {
     /// What one step of a count stands for.
     unit: u64,
     /// The multiples, one byte an expert, in base64.
     multiples: String,
 }
 
-impl ChosenCounts {
+impl SelectionCounts {
     /// Counts rounded to the smallest unit in which the largest one fits a byte.
     #[must_use]
     pub fn new(chosen: &[u64]) -> Self {
--- a/crates/ochreyard-core/src/group_map/shift_times.rs
+++ b/crates/ochreyard-core/src/group_map/shift_response_times.rs
@@ -1,10 +1,10 @@
 //! How long it takes to answer a shift of demand, by part.
 
-use super::controller::Phase;
+use super::controller::ChangePhase;
 
 /// The parts of the time from the reading that showed a shift until a map that fits is in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ShiftAnswer {
+pub struct ShiftResponse {
     /// Until a map was proposed, in milliseconds: more readings, a change before, the search.
     pub proposed_ms: u64,
     /// Until all ranks had copied, in milliseconds.
@@ -15,13 +15,13 @@
 
 /// Follows one shift after the other.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ShiftTimes {
+pub struct ShiftResponseTimes {
     shifted_ms: Option<u64>,
     proposed_ms: Option<u64>,
     copied_ms: Option<u64>,
 }
 
-impl ShiftTimes {
+impl ShiftResponseTimes {
     /// A shift was noticed. One that is not answered yet is given up.
     pub const fn on_shift(&mut self, now_ms: u64) {
         *self = Self { shifted_ms: Some(now_ms), proposed_ms: None, copied_ms: None };
@@ -34,22 +34,22 @@
     }
 
     /// The controller has come to another phase; tells the parts once the shift is answered.
-    pub fn on_phase(&mut self, phase: &Phase, now_ms: u64) -> Option<ShiftAnswer> {
+    pub fn on_phase(&mut self, phase: &ChangePhase, now_ms: u64) -> Option<ShiftResponse> {
         match phase {
-            Phase::Holding { .. } if self.copied_ms.is_none() => self.copied_ms = Some(now_ms),
+            ChangePhase::Holding { .. } if self.copied_ms.is_none() => self.copied_ms = Some(now_ms),
             // A change that came to nothing answers no shift.
-            Phase::Undoing => *self = Self { shifted_ms: self.shifted_ms, ..Self::default() },
-            Phase::Idle => return self.answer(now_ms),
+            ChangePhase::Undoing => *self = Self { shifted_ms: self.shifted_ms, ..Self::default() },
+            ChangePhase::Idle => return self.answer(now_ms),
             _ => {}
         }
         None
     }
 
-    fn answer(&mut self, now_ms: u64) -> Option<ShiftAnswer> {
+    fn answer(&mut self, now_ms: u64) -> Option<ShiftResponse> {
         let (shifted, proposed, copied) = (self.shifted_ms?, self.proposed_ms?, self.copied_ms?);
         *self = Self::default();
         // A change from before the shift is no answer to it.
         let proposed_ms = proposed.checked_sub(shifted)?;
-        Some(ShiftAnswer { proposed_ms, copied_ms: copied - proposed, switched_ms: now_ms - copied })
+        Some(ShiftResponse { proposed_ms, copied_ms: copied - proposed, switched_ms: now_ms - copied })
     }
 }
--- a/crates/ochreyard-core/src/group_map/step_times.rs
+++ b/crates/ochreyard-core/src/group_map/step_times.rs
@@ -23,9 +23,9 @@
     /// The mean skew during those steps, where it is known.
     pub mean_skew: Option<f64>,
     /// The longest pause between events that callers take as in time, in milliseconds.
-    pub pause_aim_ms: Option<u64>,
+    pub target_gap_ms: Option<u64>,
     /// Requests that run, as a share of the group's places.
-    pub busy_share: f64,
+    pub utilization: f64,
 }
 
 impl StepTimes {
@@ -35,19 +35,19 @@
     /// experts after what is in demand for a moment, and where its orders get lost it holds the group until every running
     /// stream is late.
     #[must_use]
-    pub fn gain_from(&self, (before, after): (f64, f64)) -> bool {
-        let Some(pause_aim_ms) = self.pause_aim_ms else { return true };
+    pub fn would_benefit(&self, (before, after): (f64, f64)) -> bool {
+        let Some(target_gap_ms) = self.target_gap_ms else { return true };
         if self.step_ms == 0 {
             return true;
         }
         let is_large = before >= after * LARGE_GAIN;
-        let near_aim_ms = pause_aim_ms as f64 * NEAR_AIM_SHARE;
-        let coming_near_ms = pause_aim_ms as f64 * COMING_NEAR_SHARE;
+        let near_aim_ms = target_gap_ms as f64 * NEAR_AIM_SHARE;
+        let coming_near_ms = target_gap_ms as f64 * COMING_NEAR_SHARE;
         let step_ms = self.step_ms as f64;
         // Steps grow about as their most loaded rank does: a shift shows in the skew before it shows in the steps.
         let expected_ms = self.mean_skew.map(|mean| step_ms * before / mean.max(1.0));
         let is_coming_near = expected_ms.is_none_or(|expected_ms| expected_ms >= coming_near_ms);
-        let is_exposed = before >= HIGH_SKEW || self.busy_share >= BUSY_SHARE;
+        let is_exposed = before >= HIGH_SKEW || self.utilization >= BUSY_SHARE;
         step_ms >= near_aim_ms || (is_large && (is_coming_near || is_exposed))
     }
 }
--- a/crates/ochreyard-core/src/lease.rs
+++ b/crates/ochreyard-core/src/lease.rs
@@ -44,7 +44,7 @@
 
 impl LeaseTable {
     /// Takes the record at `offset`, seen at `now_ms`. Says whether it counts.
-    pub fn read(&mut self, offset: u64, record: &LeaseRecord, now_ms: u64) -> bool {
+    pub fn apply(&mut self, offset: u64, record: &LeaseRecord, now_ms: u64) -> bool {
         let current = self.leases.get(&record.lease).map(|lease| lease.token);
         // Where nothing is known, older records may have expired: ranks compare
         // fences, so a contender that is wrongly taken for the holder does no harm.
@@ -65,10 +65,10 @@
     /// When `holder` may ask for the lease: at once if nobody else has it, else
     /// once the other's has surely lapsed and its last order has arrived.
     #[must_use]
-    pub fn may_ask_at_ms(&self, lease: &str, holder: Incarnation, margin: LeaseMargin) -> u64 {
+    pub fn earliest_request_ms(&self, lease: &str, holder: Incarnation, margin: LeaseMargin) -> u64 {
         match self.leases.get(lease) {
             Some(current) if current.holder != holder => {
-                current.seen_ms + current.ttl_ms + margin.longest_order_ms + margin.clock_ms
+                current.seen_ms + current.ttl_ms + margin.max_order_delay_ms + margin.max_clock_drift_ms
             }
             _ => 0,
         }
@@ -79,14 +79,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseMargin {
     /// How long an order may be on its way, in milliseconds.
-    pub longest_order_ms: u64,
+    pub max_order_delay_ms: u64,
     /// By how much two clocks may run apart during one lease, in milliseconds.
-    pub clock_ms: u64,
+    pub max_clock_drift_ms: u64,
 }
 
 impl Default for LeaseMargin {
     fn default() -> Self {
-        Self { longest_order_ms: 1_000, clock_ms: 200 }
+        Self { max_order_delay_ms: 1_000, max_clock_drift_ms: 200 }
     }
 }
 
@@ -96,7 +96,7 @@
     /// The fencing token.
     pub token: u64,
     /// When it was asked for, in milliseconds: before it was written.
-    pub asked_ms: u64,
+    pub requested_ms: u64,
     /// How long it lasts, in milliseconds.
     pub ttl_ms: u64,
 }
@@ -106,6 +106,6 @@
     /// asked right before each send.
     #[must_use]
     pub const fn may_send(&self, now_ms: u64, margin: LeaseMargin) -> bool {
-        now_ms + margin.longest_order_ms + margin.clock_ms < self.asked_ms + self.ttl_ms
+        now_ms + margin.max_order_delay_ms + margin.max_clock_drift_ms < self.requested_ms + self.ttl_ms
     }
 }
--- a/crates/ochreyard-core/src/map_switch/leader.rs
+++ b/crates/ochreyard-core/src/map_switch/leader.rs
@@ -9,7 +9,7 @@
 pub struct SwitchSettings {
     /// How far ahead of the newest known step the group is gated. Far enough,
     /// and the acknowledgements arrive before any rank is held.
-    pub lead_steps: u64,
+    pub steps_ahead: u64,
     /// After how long an order without reply is sent again, in milliseconds.
     pub resend_ms: u64,
     /// After how long a phase that does not end is undone, in milliseconds.
@@ -18,7 +18,7 @@
 
 impl Default for SwitchSettings {
     fn default() -> Self {
-        Self { lead_steps: 16, resend_ms: 50, phase_timeout_ms: 1_000 }
+        Self { steps_ahead: 16, resend_ms: 50, phase_timeout_ms: 1_000 }
     }
 }
 
@@ -36,11 +36,11 @@
     /// Every rank is released.
     Release,
     /// Every rank schedules the old map again from this step on.
-    PutBack(u64),
+    Restore(u64),
     /// Every rank is released with the old map.
-    ReleaseOld,
+    ReleaseWithoutSwitch,
     /// It is over.
-    Over(SwitchOutcome),
+    Finished(SwitchOutcome),
 }
 
 /// How a change ended.
@@ -107,7 +107,7 @@
     #[must_use]
     pub const fn outcome(&self) -> Option<SwitchOutcome> {
         match self.phase {
-            SwitchPhase::Over(outcome) => Some(outcome),
+            SwitchPhase::Finished(outcome) => Some(outcome),
             _ => None,
         }
     }
@@ -137,7 +137,7 @@
             return Vec::new();
         }
         if reply.highest.token() > self.token {
-            self.phase = SwitchPhase::Over(SwitchOutcome::Fenced);
+            self.phase = SwitchPhase::Finished(SwitchOutcome::Fenced);
             return Vec::new();
         }
         let is_open = self.open.get(&reply.order) == Some(&reply.rank);
@@ -163,10 +163,10 @@
             SwitchPhase::Stage => SwitchPhase::Gate(self.next_gate()),
             SwitchPhase::Gate(step) => SwitchPhase::Activate(step),
             SwitchPhase::Activate(_) => SwitchPhase::Release,
-            SwitchPhase::Release => SwitchPhase::Over(SwitchOutcome::Switched),
-            SwitchPhase::PutBack(_) => SwitchPhase::ReleaseOld,
-            SwitchPhase::ReleaseOld => SwitchPhase::Over(SwitchOutcome::Undone),
-            SwitchPhase::Over(outcome) => SwitchPhase::Over(outcome),
+            SwitchPhase::Release => SwitchPhase::Finished(SwitchOutcome::Switched),
+            SwitchPhase::Restore(_) => SwitchPhase::ReleaseWithoutSwitch,
+            SwitchPhase::ReleaseWithoutSwitch => SwitchPhase::Finished(SwitchOutcome::Undone),
+            SwitchPhase::Finished(outcome) => SwitchPhase::Finished(outcome),
         }
     }
 
@@ -174,17 +174,17 @@
     fn after_inspection(&mut self) -> SwitchPhase {
         let Some(gate) = self.views.values().filter_map(|view| view.gate).max() else {
             self.old_map = self.views.values().next().map_or(0, |view| view.map_at(u64::MAX));
-            return self.new_map.map_or(SwitchPhase::Over(SwitchOutcome::Undone), |_| SwitchPhase::Stage);
+            return self.new_map.map_or(SwitchPhase::Finished(SwitchOutcome::Undone), |_| SwitchPhase::Stage);
         };
         let scheduled = |view: &RankView| view.step >= gate || view.schedule.contains_key(&gate);
         let with_new_map = self.views.values().filter(|view| scheduled(view)).count();
         let some_entered = self.views.values().any(|view| view.step >= gate);
         if with_new_map == self.ranks as usize || with_new_map == 0 || some_entered {
             // All agree on every step, so the gates can go.
-            return SwitchPhase::ReleaseOld;
+            return SwitchPhase::ReleaseWithoutSwitch;
         }
         self.old_map = self.views.values().next().map_or(0, |view| view.map_at(gate - 1));
-        SwitchPhase::PutBack(gate)
+        SwitchPhase::Restore(gate)
     }
 
     /// Only a gate that came too late, or a step that was entered, is refused.
@@ -207,14 +207,14 @@
     fn next_gate(&self) -> u64 {
         let newest = self.views.values().map(|view| view.step).max().unwrap_or(0);
         let scheduled = self.views.values().filter_map(|view| view.schedule.keys().next_back()).max();
-        (newest + self.settings.lead_steps).max(scheduled.map_or(0, |step| step + 1))
+        (newest + self.settings.steps_ahead).max(scheduled.map_or(0, |step| step + 1))
     }
 
     fn on_timeout(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
         let next = match self.phase {
-            SwitchPhase::Stage => SwitchPhase::Over(SwitchOutcome::Undone),
-            SwitchPhase::Gate(_) => SwitchPhase::ReleaseOld,
-            SwitchPhase::Activate(step) => SwitchPhase::PutBack(step),
+            SwitchPhase::Stage => SwitchPhase::Finished(SwitchOutcome::Undone),
+            SwitchPhase::Gate(_) => SwitchPhase::ReleaseWithoutSwitch,
+            SwitchPhase::Activate(step) => SwitchPhase::Restore(step),
             // These must reach every rank, however long it takes.
             same => same,
         };
@@ -235,9 +235,9 @@
             SwitchPhase::Stage => self.new_map.map(|map| RankOrder::Stage { map }),
             SwitchPhase::Gate(step) => Some(RankOrder::Gate { step }),
             SwitchPhase::Activate(from_step) => self.new_map.map(|map| RankOrder::Activate { map, from_step }),
-            SwitchPhase::PutBack(from_step) => Some(RankOrder::Activate { map: self.old_map, from_step }),
-            SwitchPhase::Release | SwitchPhase::ReleaseOld => Some(RankOrder::Release),
-            SwitchPhase::Over(_) => None,
+            SwitchPhase::Restore(from_step) => Some(RankOrder::Activate { map: self.old_map, from_step }),
+            SwitchPhase::Release | SwitchPhase::ReleaseWithoutSwitch => Some(RankOrder::Release),
+            SwitchPhase::Finished(_) => None,
         }
     }
 
--- a/crates/ochreyard-core/src/rebalance.rs
+++ b/crates/ochreyard-core/src/rebalance.rs
@@ -5,13 +5,13 @@
 //! time, best first. Two settings of one formula serve users who weigh skew and
 //! users who weigh moves.
 
-mod budgeted;
+mod budgeted_rebalancer;
 mod diagnosis;
 mod placement;
 mod predictor;
 mod search;
 
-pub use budgeted::{Budgeted, RebalanceSettings};
-pub use diagnosis::{Slowness, diagnose};
+pub use budgeted_rebalancer::{BudgetedRebalancer, RebalanceSettings};
+pub use diagnosis::{SlowStepCause, diagnose_slow_steps};
 pub use placement::{Placement, skew};
 pub use predictor::Predictor;
--- a/crates/ochreyard-core/src/rebalance/budgeted.rs
+++ b/crates/ochreyard-core/src/rebalance/budgeted_rebalancer.rs
@@ -10,25 +10,25 @@
     /// Over how many intervals a saving counts.
     pub horizon_intervals: f64,
     /// What one copied replica costs, in units of skew for one interval.
-    pub move_cost: f64,
+    pub copy_cost: f64,
     /// Predicted skew below which nothing is moved.
-    pub enough_skew: f64,
+    pub min_skew: f64,
     /// Copies in one interval at the most: what the weight store and the
     /// headroom of steps allow.
-    pub max_moves: usize,
+    pub max_copies_per_interval: usize,
 }
 
 impl RebalanceSettings {
     /// For users to whom a slow step costs more than a move: the ski platform.
     #[must_use]
     pub const fn weigh_skew() -> Self {
-        Self { horizon_intervals: 30.0, move_cost: 0.004, enough_skew: 1.02, max_moves: 8 }
+        Self { horizon_intervals: 30.0, copy_cost: 0.004, min_skew: 1.02, max_copies_per_interval: 8 }
     }
 
     /// For users to whom moves cost more than a slow step: Kalahari Formworks.
     #[must_use]
     pub const fn weigh_moves() -> Self {
-        Self { horizon_intervals: 60.0, move_cost: 0.5, enough_skew: 1.08, max_moves: 4 }
+        Self { horizon_intervals: 60.0, copy_cost: 0.5, min_skew: 1.08, max_copies_per_interval: 4 }
     }
 }
 
@@ -45,13 +45,13 @@
 /// new placement pays for all its moves, that one is copied over several
 /// intervals, at the rate that the store allows, and then switched to at once.
 #[derive(Debug, Clone)]
-pub struct Budgeted {
+pub struct BudgetedRebalancer {
     settings: RebalanceSettings,
     predictor: Predictor,
     staging: Option<Staging>,
 }
 
-impl Budgeted {
+impl BudgetedRebalancer {
     /// A policy for this many experts.
     #[must_use]
     pub fn new(settings: RebalanceSettings, experts: usize) -> Self {
@@ -81,16 +81,16 @@
     }
 
     fn pays(&self, gain: f64, intervals: f64, copies: usize) -> bool {
-        gain * intervals > self.settings.move_cost * copies as f64
+        gain * intervals > self.settings.copy_cost * copies as f64
     }
 
     fn single_moves(&self, present: &Placement) -> (Placement, usize) {
         let mut search = Search::new(present, self.predictor.shares());
         let mut copies = 0;
-        while copies < self.settings.max_moves && search.skew() > self.settings.enough_skew {
+        while copies < self.settings.max_copies_per_interval && search.skew() > self.settings.min_skew {
             let Some((step, gain)) = search.best_step() else { break };
             let pays = self.pays(gain, self.settings.horizon_intervals, step.copies());
-            if !pays || copies + step.copies() > self.settings.max_moves {
+            if !pays || copies + step.copies() > self.settings.max_copies_per_interval {
                 break;
             }
             search.apply(step);
@@ -103,14 +103,15 @@
     /// the horizon once they have been copied.
     fn whole_placement(&self, present: &Placement) -> Option<Staging> {
         let before = self.predicted_skew(present);
-        if before <= self.settings.enough_skew {
+        if before <= self.settings.min_skew {
             return None;
         }
         let slots = present.ranks().first().map_or(0, Vec::len);
-        let target = Placement::greedy(self.predictor.shares(), present.ranks().len(), slots).relabelled(present);
-        let copies = present.moves_to(&target);
+        let target =
+            Placement::greedy(self.predictor.shares(), present.ranks().len(), slots).relabeled_to_match(present);
+        let copies = present.copies_to_reach(&target);
         let gain = before - self.predicted_skew(&target);
-        let staging_intervals = copies as f64 / self.settings.max_moves as f64;
+        let staging_intervals = copies as f64 / self.settings.max_copies_per_interval as f64;
         let left = self.settings.horizon_intervals - staging_intervals;
         self.pays(gain, left, copies).then_some(Staging { target, copies_left: copies })
     }
@@ -118,7 +119,7 @@
     /// Copies some more replicas; with the last one the new placement comes into
     /// force, unless the loads have turned against it in the meantime.
     fn go_on_staging(&mut self, staging: Staging, present: &Placement) -> (Placement, usize) {
-        let copies = staging.copies_left.min(self.settings.max_moves);
+        let copies = staging.copies_left.min(self.settings.max_copies_per_interval);
         let copies_left = staging.copies_left - copies;
         if copies_left > 0 {
             self.staging = Some(Staging { copies_left, ..staging });
--- a/crates/ochreyard-core/src/rebalance/diagnosis.rs
+++ b/crates/ochreyard-core/src/rebalance/diagnosis.rs
@@ -2,7 +2,7 @@
 
 /// Why a group's steps are slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Slowness {
+pub enum SlowStepCause {
     /// Nothing stands out.
     None,
     /// A rank has more work than the others: moves help.
@@ -16,16 +16,16 @@
 
 /// Judges the slowest rank by its own compute time, in microseconds, and by its load.
 #[must_use]
-pub fn diagnose(rank_times_us: &[f64], rank_loads: &[f64]) -> Slowness {
+pub fn diagnose_slow_steps(rank_times_us: &[f64], rank_loads: &[f64]) -> SlowStepCause {
     let slowest = (0..rank_times_us.len()).max_by(|a, b| rank_times_us[*a].total_cmp(&rank_times_us[*b]));
-    let Some(slowest) = slowest else { return Slowness::None };
+    let Some(slowest) = slowest else { return SlowStepCause::None };
     let (time, load) = (median(rank_times_us), median(rank_loads));
     if time <= 0.0 || load <= 0.0 || rank_times_us[slowest] < STANDS_OUT * time {
-        return Slowness::None;
+        return SlowStepCause::None;
     }
     let by_load = rank_loads[slowest] / load;
     let by_time = rank_times_us[slowest] / time;
-    if by_time > STANDS_OUT * by_load { Slowness::Stalled(slowest) } else { Slowness::Hot(slowest) }
+    if by_time > STANDS_OUT * by_load { SlowStepCause::Stalled(slowest) } else { SlowStepCause::Hot(slowest) }
 }
 
 fn median(values: &[f64]) -> f64 {
--- a/crates/ochreyard-core/src/rebalance/placement.rs
+++ b/crates/ochreyard-core/src/rebalance/placement.rs
@@ -128,7 +128,7 @@
     /// The same placement with the ranks renamed so that few replicas must be
     /// copied from `present`: each rank takes the held set that it shares most with.
     #[must_use]
-    pub fn relabelled(&self, present: &Self) -> Self {
+    pub fn relabeled_to_match(&self, present: &Self) -> Self {
         let mut left: Vec<&Vec<usize>> = self.ranks.iter().collect();
         let shared = |held: &[usize], other: &[usize]| other.iter().filter(|expert| held.contains(expert)).count();
         let pick = |held: &Vec<usize>| {
@@ -141,7 +141,7 @@
 
     /// How many replicas must be copied to get from `self` to `next`.
     #[must_use]
-    pub fn moves_to(&self, next: &Self) -> usize {
+    pub fn copies_to_reach(&self, next: &Self) -> usize {
         let missing =
             |(old, new): (&Vec<usize>, &Vec<usize>)| new.iter().filter(|expert| !old.contains(expert)).count();
         self.ranks.iter().zip(&next.ranks).map(missing).sum()
--- a/crates/ochreyard-core/tests/arming_times.rs
+++ b/crates/ochreyard-core/tests/arming_times.rs
@@ -1,12 +1,12 @@
 //! How long ranks take to arm a map, of late.
 
-use ochreyard_core::group_map::{ArmingTimes, Phase};
+use ochreyard_core::group_map::{ArmingTimes, ChangePhase};
 
-const ARMING: Phase = Phase::Arming { version: 1, step: 2 };
+const ARMING: ChangePhase = ChangePhase::Arming { version: 1, step: 2 };
 
 fn arm(times: &mut ArmingTimes, from_ms: u64, took_ms: u64) {
     times.on_phase(&ARMING, from_ms);
-    times.on_phase(&Phase::Releasing, from_ms + took_ms);
+    times.on_phase(&ChangePhase::Releasing, from_ms + took_ms);
 }
 
 #[test]
@@ -25,7 +25,7 @@
 fn a_change_that_is_undone_while_it_arms_counts_as_well() {
     let mut times = ArmingTimes::default();
     times.on_phase(&ARMING, 0);
-    times.on_phase(&Phase::Undoing, 400);
-    times.on_phase(&Phase::Idle, 900);
+    times.on_phase(&ChangePhase::Undoing, 400);
+    times.on_phase(&ChangePhase::Idle, 900);
     assert!((times.mean_ms() - 400.0).abs() < f64::EPSILON);
 }
--- a/crates/ochreyard-core/tests/candidacy.rs
+++ b/crates/ochreyard-core/tests/candidacy.rs
@@ -1,7 +1,7 @@
 //! Which entry leads a group, and when it asks to.
 
 use ochreyard_core::direct::{BoxList, BoxRecord, UnledGroups};
-use ochreyard_core::group_map::{Candidacy, Grant, LeaderId, candidate_place};
+use ochreyard_core::group_map::{Candidacy, LeaderGrant, LeaderId, candidate_position};
 
 /// Ranks of a group.
 const SIZE: usize = 12;
@@ -25,7 +25,7 @@
         for (name, record) in boxes.iter().filter(|other| other.0 != own.0) {
             others.take(name, record.clone());
         }
-        candidate_place(service, (own.0, &own.1), &others)
+        candidate_position(service, (own.0, &own.1), &others)
     };
     boxes.iter().map(place).collect()
 }
@@ -75,7 +75,7 @@
     let mut now_ms = 0;
     for wait_ms in [800, 1_600, 3_200, 6_400, 6_400] {
         assert!(candidacy.is_due(ONE, 0, now_ms));
-        candidacy.on_tried(now_ms);
+        candidacy.on_attempt(now_ms);
         assert!(!candidacy.is_due(ONE, 0, now_ms + wait_ms - 1));
         now_ms += wait_ms;
     }
@@ -86,12 +86,12 @@
 #[test]
 fn an_agent_grants_nothing_for_longer_than_it_keeps_quiet_after_its_start() {
     let (first, second) = (LeaderId { life: 1 }, LeaderId { life: 2 });
-    let mut grant = Grant::new(800, 0);
-    assert!(!grant.ask(&first, 800, 799), "it may have granted another one in an earlier life");
-    assert!(!grant.ask(&first, 801, 800));
-    assert!(grant.ask(&first, 500, 800));
-    assert!(!grant.ask(&second, 500, 1_299));
-    assert!(grant.ask(&second, 500, 1_300), "the grant is as long as it was asked for");
+    let mut grant = LeaderGrant::new(800, 0);
+    assert!(!grant.try_grant(&first, 800, 799), "it may have granted another one in an earlier life");
+    assert!(!grant.try_grant(&first, 801, 800));
+    assert!(grant.try_grant(&first, 500, 800));
+    assert!(!grant.try_grant(&second, 500, 1_299));
+    assert!(grant.try_grant(&second, 500, 1_300), "the grant is as long as it was asked for");
 }
 
 #[test]
--- a/crates/ochreyard-core/tests/group_map.rs
+++ b/crates/ochreyard-core/tests/group_map.rs
@@ -6,7 +6,7 @@
 
 use group_map_model::World;
 use ochreyard_core::group_map::{
-    ChosenCounts, Demand, Experts, GroupPlacement, MapChange, Order, PlanSettings, Planner, chosen_between,
+    Demand, ExpertMap, GroupPlacement, MapDelta, Order, PlanSettings, Planner, SelectionCounts, selections_between,
 };
 use ochreyard_core::hash;
 use proptest::prelude::*;
@@ -59,12 +59,12 @@
 }
 
 const SETTINGS: PlanSettings = PlanSettings {
-    places: 5,
-    spare: 4,
+    slots: 5,
+    spare_slots: 4,
     copy_ms: 100.0,
     switch_ms: 200.0,
-    copy_drag: 0.15,
-    copy_cost: 0.15,
+    copy_slowdown: 0.15,
+    copy_time_cost: 0.15,
     horizon_ms: 3_000.0,
     copy_price_ms: 0.2,
     least_saving_ms: 50.0,
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_slow_rank_is_relieved() {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     let demand = [1.0; 32];
     let paces = [1.0, 1.0, 5.0, 1.0];
     let planned = Planner::new(SETTINGS).plan(&present, &demand, &paces).expect("worth a change");
@@ -85,14 +85,14 @@
 
 #[test]
 fn a_hot_expert_gets_replicas() {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     let mut demand = vec![1.0; 32];
     demand[3] = 30.0;
     let planned = Planner::new(SETTINGS).plan(&present, &demand, &EVEN).expect("worth a change");
     assert!(planned.skew.1 < planned.skew.0 * 0.6, "{:?}", planned.skew);
     assert!(planned.placement.is_complete());
     let most = planned.placement.sets().iter().flatten().map(Vec::len).max();
-    assert!(most <= Some(SETTINGS.places));
+    assert!(most <= Some(SETTINGS.slots));
 }
 
 /// A demand that falls off with the rank of an expert, in an order of its own in each set
@@ -110,9 +110,9 @@
 
 #[test]
 fn with_many_sets_and_few_free_places_the_search_goes_on() {
-    let cheap = PlanSettings { spare: 2, copy_ms: 1.0, copy_price_ms: 0.0, least_saving_ms: 0.0, ..SETTINGS };
+    let cheap = PlanSettings { spare_slots: 2, copy_ms: 1.0, copy_price_ms: 0.0, least_saving_ms: 0.0, ..SETTINGS };
     let paces = [1.0; 24];
-    let mut placement = GroupPlacement::dealt(16, 96, 24);
+    let mut placement = GroupPlacement::round_robin(16, 96, 24);
     for number in 1..4 {
         let demand = spell(number, 16, 96);
         for _ in 0..3 {
@@ -127,21 +127,21 @@
 #[case::a_large_skew_is_worth_slow_copies(30.0, true)]
 #[case::a_small_one_is_not(4.0, false)]
 fn slow_copies_are_made_where_steps_take_twice_as_long(#[case] hot: f64, #[case] changes: bool) {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     let demand: Vec<f64> = (0..32).map(|expert| if expert % 16 == 3 { hot } else { 1.0 }).collect();
-    let slow = PlanSettings { copy_ms: 1_200.0, copy_cost: 1.0, ..SETTINGS };
+    let slow = PlanSettings { copy_ms: 1_200.0, copy_time_cost: 1.0, ..SETTINGS };
     assert_eq!(Planner::new(slow).plan(&present, &demand, &EVEN).is_some(), changes);
 }
 
 #[test]
 fn even_demand_changes_nothing() {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     assert!(Planner::new(SETTINGS).plan(&present, &[1.0; 32], &EVEN).is_none());
 }
 
 #[test]
 fn a_gain_smaller_than_its_copies_changes_nothing() {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     let mut demand = vec![1.0; 32];
     demand[3] = 3.0;
     let dear = PlanSettings { copy_ms: 2_900.0, ..SETTINGS };
@@ -153,23 +153,23 @@
 #[case::copies_that_take_half_as_long_go_in_twos(100.0, 2)]
 #[case::copies_that_take_longer_still_go(500.0, 1)]
 fn a_change_copies_no_longer_than_the_rest_of_it_takes(#[case] copy_ms: f64, #[case] most: usize) {
-    let present = GroupPlacement::dealt(2, 16, 4);
+    let present = GroupPlacement::round_robin(2, 16, 4);
     let demand: Vec<f64> = (0..32).map(|expert| if expert % 4 == 3 { 20.0 } else { 1.0 }).collect();
     let planned = Planner::new(PlanSettings { copy_ms, ..SETTINGS }).plan(&present, &demand, &EVEN);
-    assert_eq!(planned.expect("worth a change").copies_of_rank, most);
+    assert_eq!(planned.expect("worth a change").max_copies_per_rank, most);
 }
 
 proptest! {
     #[test]
     fn a_plan_keeps_every_expert_and_every_bound(demand in proptest::collection::vec(0.0f64..50.0, 32)) {
-        let present = GroupPlacement::dealt(2, 16, 4);
+        let present = GroupPlacement::round_robin(2, 16, 4);
         if let Some(planned) = Planner::new(SETTINGS).plan(&present, &demand, &EVEN) {
             prop_assert!(planned.placement.is_complete());
             for (old, new) in present.sets().iter().zip(planned.placement.sets()) {
                 for (old, new) in old.iter().zip(new) {
-                    prop_assert!(new.len() <= SETTINGS.places);
+                    prop_assert!(new.len() <= SETTINGS.slots);
                     prop_assert!(new.is_sorted());
-                    prop_assert!(new.iter().filter(|expert| !old.contains(expert)).count() <= SETTINGS.spare);
+                    prop_assert!(new.iter().filter(|expert| !old.contains(expert)).count() <= SETTINGS.spare_slots);
                     prop_assert!((1..new.len()).all(|at| !new[..at].contains(&new[at])));
                 }
             }
@@ -180,11 +180,11 @@
 #[test]
 fn old_counts_fade_and_a_restart_counts_anew() {
     let mut demand = Demand::new(2, 100.0);
-    demand.add(&[100.0, 0.0], 0);
-    demand.add(&[0.0, 10.0], 500);
+    demand.observe(&[100.0, 0.0], 0);
+    demand.observe(&[0.0, 10.0], 500);
     assert!(demand.rates()[0] < demand.rates()[1]);
-    assert_eq!(chosen_between(&[5, 7], &[6, 7]), [1, 0]);
-    assert_eq!(chosen_between(&[5, 7], &[2, 8]), [2, 8]);
+    assert_eq!(selections_between(&[5, 7], &[6, 7]), [1, 0]);
+    assert_eq!(selections_between(&[5, 7], &[2, 8]), [2, 8]);
 }
 
 /// 640 choices of 16 experts, of which `hot` gets nine in ten.
@@ -204,10 +204,10 @@
 fn the_reading_of_a_shift_tells_the_new_demand(#[case] old_part: f64) {
     let mut demand = Demand::new(16, 1_000.0);
     for round in 0..5 {
-        assert!(!demand.add(&reading(3), round * 100));
+        assert!(!demand.observe(&reading(3), round * 100));
     }
-    assert!(demand.add(&mixed(old_part), 500));
-    assert!(!demand.is_mixed());
+    assert!(demand.observe(&mixed(old_part), 500));
+    assert!(!demand.is_mostly_stale());
     let shares = demand.rates().iter().map(|rate| rate / demand.weight());
     for (share, wanted) in shares.zip(reading(7)) {
         assert!((share - wanted / 640.0).abs() < 0.05, "{share} {wanted}");
@@ -217,11 +217,11 @@
 #[test]
 fn a_reading_that_is_mostly_old_waits_for_the_next_one() {
     let mut demand = Demand::new(16, 1_000.0);
-    demand.add(&reading(3), 0);
-    assert!(demand.add(&mixed(0.65), 100));
-    assert!(demand.is_mixed());
-    assert!(!demand.add(&reading(7), 200));
-    assert!(!demand.is_mixed());
+    demand.observe(&reading(3), 0);
+    assert!(demand.observe(&mixed(0.65), 100));
+    assert!(demand.is_mostly_stale());
+    assert!(!demand.observe(&reading(7), 200));
+    assert!(!demand.is_mostly_stale());
     assert_eq!(demand.rates(), reading(7));
 }
 
@@ -236,7 +236,7 @@
                 let drawn = hash::mix(seed ^ (round * 640 + draw));
                 chosen[if drawn.is_multiple_of(2) { 3 } else { (drawn / 2 % 16) as usize }] += 1.0;
             }
-            demand.add(&chosen, round * 100)
+            demand.observe(&chosen, round * 100)
         });
         prop_assert!(alarms.count() <= 1);
     }
@@ -245,9 +245,9 @@
 #[test]
 fn few_choices_are_no_shift() {
     let mut demand = Demand::new(16, 150.0);
-    demand.add(&reading(3), 0);
+    demand.observe(&reading(3), 0);
     let few: Vec<f64> = reading(7).iter().map(|count| count / 64.0).collect();
-    assert!(!demand.add(&few, 100));
+    assert!(!demand.observe(&few, 100));
 }
 
 proptest! {
@@ -266,7 +266,7 @@
     #[test]
     fn counts_told_in_one_byte_keep_their_proportions(chosen in proptest::collection::vec(0u64..5_000_000, 1..200)) {
         let mut sums = Vec::new();
-        prop_assert!(ChosenCounts::new(&chosen).add_to(&mut sums));
+        prop_assert!(SelectionCounts::new(&chosen).add_to(&mut sums));
         let most = chosen.iter().copied().max().unwrap_or(0) as f64;
         for (sum, count) in sums.iter().zip(&chosen) {
             prop_assert!((sum - *count as f64).abs() <= most / 255.0 + 1.0, "{sum} {count}");
@@ -277,12 +277,12 @@
 #[test]
 fn counts_of_another_length_add_nothing() {
     let mut sums = vec![1.0; 3];
-    assert!(!ChosenCounts::new(&[5, 5]).add_to(&mut sums));
+    assert!(!SelectionCounts::new(&[5, 5]).add_to(&mut sums));
     assert_eq!(sums, [1.0; 3]);
 }
 
 /// Maps of 3 sets and 4 ranks in their one order, with no expert twice at a rank.
-fn maps() -> impl Strategy<Value = Experts> {
+fn maps() -> impl Strategy<Value = ExpertMap> {
     let held = proptest::collection::btree_set(0u16..4_096, 0..6).prop_map(|held| held.into_iter().collect::<Vec<_>>());
     proptest::collection::vec(proptest::collection::vec(held, 4), 3)
 }
@@ -290,21 +290,21 @@
 proptest! {
     #[test]
     fn a_change_leads_from_one_map_to_the_next(before in maps(), after in maps()) {
-        let change = MapChange::between(7, &before, &after).expect("of one shape");
+        let change = MapDelta::between(7, &before, &after).expect("of one shape");
         let text = serde_json::to_string(&change).unwrap();
-        let read: MapChange = serde_json::from_str(&text).unwrap();
+        let read: MapDelta = serde_json::from_str(&text).unwrap();
         // To the letter: ranks of which some got the change and some the whole map compare equal.
         prop_assert_eq!(read.apply(&before), Some(after));
     }
 
     #[test]
     fn a_change_that_does_not_fit_gives_no_map(before in maps(), after in maps(), cut in 1usize..9) {
-        let change = MapChange::between(7, &before, &after).expect("of one shape");
+        let change = MapDelta::between(7, &before, &after).expect("of one shape");
         let mut value = serde_json::to_value(&change).unwrap();
         let text = value["changes"].as_str().unwrap_or_default().to_owned();
         prop_assume!(text.len() > cut);
         value["changes"] = text[..text.len() - cut].into();
-        let read: MapChange = serde_json::from_value(value).unwrap();
+        let read: MapDelta = serde_json::from_value(value).unwrap();
         prop_assert!(read.apply(&before) != Some(after));
         prop_assert_eq!(change.apply(&vec![Vec::new(); 3]).filter(|_| !text.is_empty()), None);
     }
--- a/crates/ochreyard-core/tests/group_map_model/mod.rs
+++ b/crates/ochreyard-core/tests/group_map_model/mod.rs
@@ -2,8 +2,8 @@
 //! or are carried out late; and agents that grant, freeze, die and come back.
 
 use ochreyard_core::group_map::{
-    Armed, Controller, ControllerSettings, Grant, GroupPlacement, LeaderId, Leadership, Order, OrderOutcome, RankView,
-    Round, SentOrder,
+    ArmedMap, GroupPlacement, LeaderGrant, LeaderId, Leadership, MapController, MapControllerSettings, Order,
+    OrderOutcome, RankView, Round, SentOrder,
 };
 use ochreyard_core::hash;
 
@@ -49,7 +49,7 @@
 }
 
 fn dealt() -> GroupPlacement {
-    GroupPlacement::dealt(1, EXPERTS, RANKS)
+    GroupPlacement::round_robin(1, EXPERTS, RANKS)
 }
 
 /// A placement that differs with `number`: one expert has a second replica.
@@ -63,14 +63,14 @@
 }
 
 struct Agent {
-    grant: Grant,
+    grant: LeaderGrant,
     down_until_ms: u64,
 }
 
 struct Candidate {
     life: u64,
     leadership: Leadership,
-    controller: Controller,
+    controller: MapController,
     frozen_until_ms: u64,
     pending: Vec<(usize, SentOrder)>,
     outcomes: Vec<(usize, SentOrder, OrderOutcome)>,
@@ -84,7 +84,7 @@
         Self {
             life,
             leadership: Leadership::new(LEASE_MS),
-            controller: Controller::new(ControllerSettings::default(), rank, life),
+            controller: MapController::new(MapControllerSettings::default(), rank, life),
             frozen_until_ms: 0,
             pending: Vec::new(),
             outcomes: Vec::new(),
@@ -120,7 +120,7 @@
 
 impl World {
     pub fn new(seed: u64) -> Self {
-        let agents = (0..RANKS).map(|_| Agent { grant: Grant::new(LEASE_MS, 0), down_until_ms: 0 }).collect();
+        let agents = (0..RANKS).map(|_| Agent { grant: LeaderGrant::new(LEASE_MS, 0), down_until_ms: 0 }).collect();
         let candidates = (0..RANKS).map(|rank| Candidate::new(rank, rank as u64 + 1)).collect();
         let engine = Engine { map: (0, content_of(dealt().sets())), ..Engine::default() };
         Self {
@@ -191,7 +191,7 @@
     fn restart_agent(&mut self, at: usize, down_ms: u64) {
         self.lives += 1;
         let up_ms = self.now_ms + down_ms;
-        self.agents[at] = Agent { grant: Grant::new(LEASE_MS, up_ms), down_until_ms: up_ms };
+        self.agents[at] = Agent { grant: LeaderGrant::new(LEASE_MS, up_ms), down_until_ms: up_ms };
         self.candidates[at] = Candidate::new(at, self.lives);
         self.candidates[at].frozen_until_ms = up_ms;
     }
@@ -340,7 +340,7 @@
             map: engine.map.0,
             is_busy: engine.copying.is_some(),
             prepared: engine.prepared.map(|(version, _)| version),
-            armed: engine.armed.map(|(version, _, step)| Armed { version, step: Some(step) }),
+            armed: engine.armed.map(|(version, _, step)| ArmedMap { version, step: Some(step) }),
             held: engine.held,
             ..RankView::default()
         }
@@ -353,7 +353,7 @@
             return;
         }
         let me = LeaderId { life: self.candidates[at].life };
-        let has_lapsed = self.candidates[at].leads && !self.candidates[at].leadership.holds(RANKS, now_ms, 0);
+        let has_lapsed = self.candidates[at].leads && !self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
         if has_lapsed {
             self.stand_down(at);
             return;
@@ -366,7 +366,7 @@
         }
         // Candidates ask in turn, so that one of them gets most grants.
         let is_turn = now_ms / TICK_MS % (2 * RANKS as u64) == 2 * at as u64;
-        let leads = self.candidates[at].leadership.holds(RANKS, now_ms, 0);
+        let leads = self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
         if !leads && (is_led || !is_turn || now_ms < self.candidates[at].waits_until_ms) {
             return;
         }
@@ -374,7 +374,7 @@
         let mut views = Vec::new();
         for rank in 0..RANKS {
             let is_up = now_ms >= self.agents[rank].down_until_ms;
-            let granted = is_up && self.agents[rank].grant.ask(&me, LEASE_MS, now_ms);
+            let granted = is_up && self.agents[rank].grant.try_grant(&me, LEASE_MS, now_ms);
             self.candidates[at].leadership.on_answer(rank, granted, now_ms);
             views.push((is_up || reach).then(|| self.view(rank)));
         }
@@ -401,24 +401,24 @@
         let wants_another = self.has_faults && self.draws.one_in(GIVES_WAY_ONE_IN);
         let candidate = &mut self.candidates[at];
         let round = Round { views, outcomes: std::mem::take(&mut candidate.outcomes) };
-        if !candidate.leadership.holds(RANKS, now_ms, 50) {
-            if !candidate.leadership.holds(RANKS, now_ms, 0) {
+        if !candidate.leadership.has_majority(RANKS, now_ms, 50) {
+            if !candidate.leadership.has_majority(RANKS, now_ms, 0) {
                 self.stand_down(at);
             }
             return;
         }
         candidate.leads = true;
-        let maps_known = candidate.controller.present().is_some_and(|(version, _)| *version == epoch_map.0);
+        let maps_known = candidate.controller.current_map().is_some_and(|(version, _)| *version == epoch_map.0);
         let all_equal = self.engines.iter().all(|engine| engine.map == epoch_map);
         if !maps_known && all_equal {
             let placement = (0..64).map(variant).chain([dealt()]).find(|p| content_of(p.sets()) == epoch_map.1);
             if let Some(placement) = placement {
-                candidate.controller.set_present(epoch_map.0, placement);
+                candidate.controller.set_current_map(epoch_map.0, placement);
             }
         }
         candidate.pending = candidate.controller.on_round(&round, now_ms);
-        let gives_way = wants_another && candidate.controller.may_give_way(&round.views);
-        if gives_way || candidate.controller.takes_proposal(&round.views, now_ms) {
+        let gives_way = wants_another && candidate.controller.is_preemptible(&round.views);
+        if gives_way || candidate.controller.accepts_proposal(&round.views, now_ms) {
             candidate.asked += 1;
             let number = hash::mix(candidate.life * 1000 + candidate.asked);
             candidate.controller.propose(variant(number % 24), 1, now_ms);
@@ -433,7 +433,7 @@
     /// Gives back what was granted, and leaves the others a lease to agree.
     fn stand_down(&mut self, at: usize) {
         let candidate = &mut self.candidates[at];
-        candidate.controller = candidate.controller.renewed(at);
+        candidate.controller = candidate.controller.restarted(at);
         candidate.leadership.clear();
         candidate.leads = false;
         candidate.pending.clear();
--- a/crates/ochreyard-core/tests/lease.rs
+++ b/crates/ochreyard-core/tests/lease.rs
@@ -6,7 +6,7 @@
 
 const NAME: &str = "switch/e";
 const TTL_MS: u64 = 1_000;
-const MARGIN: LeaseMargin = LeaseMargin { longest_order_ms: 100, clock_ms: 50 };
+const MARGIN: LeaseMargin = LeaseMargin { max_order_delay_ms: 100, max_clock_drift_ms: 50 };
 
 fn record(holder: u64, replaces: Option<u64>) -> LeaseRecord {
     LeaseRecord { lease: NAME.into(), holder: Incarnation(holder), replaces, ttl_ms: TTL_MS }
@@ -15,18 +15,18 @@
 #[test]
 fn of_two_contenders_the_first_in_the_log_holds() {
     let mut table = LeaseTable::default();
-    assert!(table.read(3, &record(1, None), 0));
-    assert!(table.read(4, &record(2, Some(3)), 10));
-    assert!(!table.read(5, &record(3, Some(3)), 10));
+    assert!(table.apply(3, &record(1, None), 0));
+    assert!(table.apply(4, &record(2, Some(3)), 10));
+    assert!(!table.apply(5, &record(3, Some(3)), 10));
     assert_eq!(table.current(NAME).unwrap().holder, Incarnation(2));
 }
 
 #[test]
 fn the_holder_may_renew_at_once_and_others_wait() {
     let mut table = LeaseTable::default();
-    table.read(3, &record(1, None), 500);
-    assert_eq!(table.may_ask_at_ms(NAME, Incarnation(1), MARGIN), 0);
-    assert_eq!(table.may_ask_at_ms(NAME, Incarnation(2), MARGIN), 500 + TTL_MS + 150);
+    table.apply(3, &record(1, None), 500);
+    assert_eq!(table.earliest_request_ms(NAME, Incarnation(1), MARGIN), 0);
+    assert_eq!(table.earliest_request_ms(NAME, Incarnation(2), MARGIN), 500 + TTL_MS + 150);
 }
 
 proptest! {
@@ -36,22 +36,22 @@
     /// however late the records are seen and however long the holder is paused.
     #[test]
     fn the_last_order_arrives_before_a_successor_starts(
-        asked_ms in 0..1_000u64,
+        requested_ms in 0..1_000u64,
         written_after_ms in prop_oneof![Just(0u64), 0..500u64],
         seen_after_ms in prop_oneof![Just(0u64), 0..500u64],
         sends in prop::collection::vec(0..3_000u64, 1..20),
         around_the_end_ms in prop::collection::vec(0..400u64, 1..20),
     ) {
-        let held = HeldLease { token: 3, asked_ms, ttl_ms: TTL_MS };
-        let written_ms = asked_ms + written_after_ms;
+        let held = HeldLease { token: 3, requested_ms, ttl_ms: TTL_MS };
+        let written_ms = requested_ms + written_after_ms;
         let mut table = LeaseTable::default();
-        table.read(3, &record(1, None), written_ms + seen_after_ms);
-        let successor_ms = table.may_ask_at_ms(NAME, Incarnation(2), MARGIN);
+        table.apply(3, &record(1, None), written_ms + seen_after_ms);
+        let successor_ms = table.earliest_request_ms(NAME, Incarnation(2), MARGIN);
         // scripts/prove found that sends at random hardly ever come near the end.
-        let end_ms = asked_ms + TTL_MS;
+        let end_ms = requested_ms + TTL_MS;
         for sent_ms in sends.into_iter().chain(around_the_end_ms.into_iter().map(|ms| end_ms + ms - 200)) {
             if held.may_send(sent_ms, MARGIN) {
-                prop_assert!(sent_ms + MARGIN.longest_order_ms < successor_ms);
+                prop_assert!(sent_ms + MARGIN.max_order_delay_ms < successor_ms);
             }
         }
     }
--- a/crates/ochreyard-core/tests/one_map.rs
+++ b/crates/ochreyard-core/tests/one_map.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 
 const RANKS: u32 = 4;
-const SETTINGS: SwitchSettings = SwitchSettings { lead_steps: 3, resend_ms: 20, phase_timeout_ms: 100 };
+const SETTINGS: SwitchSettings = SwitchSettings { steps_ahead: 3, resend_ms: 20, phase_timeout_ms: 100 };
 const OLD_MAP: u64 = 1;
 
 #[derive(Debug, Clone)]
--- a/crates/ochreyard-core/tests/rebalance.rs
+++ b/crates/ochreyard-core/tests/rebalance.rs
@@ -1,6 +1,8 @@
 //! The expert map keeps its rules, moves pay, and a stalled rank is no hot one.
 
-use ochreyard_core::rebalance::{Budgeted, Placement, RebalanceSettings, Slowness, diagnose, skew};
+use ochreyard_core::rebalance::{
+    BudgetedRebalancer, Placement, RebalanceSettings, SlowStepCause, diagnose_slow_steps, skew,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -29,14 +31,14 @@
         intervals in prop::collection::vec(prop::collection::vec(0.0..100.0f64, EXPERTS), 1..12),
     ) {
         for settings in [RebalanceSettings::weigh_skew(), RebalanceSettings::weigh_moves()] {
-            let mut policy = Budgeted::new(settings, EXPERTS);
+            let mut policy = BudgetedRebalancer::new(settings, EXPERTS);
             let mut placement = Placement::even(EXPERTS, RANKS, SLOTS);
             prop_assert!(keeps_its_rules(&placement));
             for counts in &intervals {
                 policy.observe(counts);
                 let (next, copies) = policy.decide(&placement);
                 prop_assert!(keeps_its_rules(&next));
-                prop_assert!(copies <= settings.max_moves);
+                prop_assert!(copies <= settings.max_copies_per_interval);
                 placement = next;
             }
             prop_assert!(keeps_its_rules(&Placement::greedy(&intervals[0], RANKS, SLOTS)));
@@ -48,7 +50,7 @@
 fn a_lasting_hot_expert_is_spread_and_then_nothing_moves() {
     let mut counts = vec![10.0; EXPERTS];
     counts[3] = 80.0;
-    let mut policy = Budgeted::new(RebalanceSettings::weigh_skew(), EXPERTS);
+    let mut policy = BudgetedRebalancer::new(RebalanceSettings::weigh_skew(), EXPERTS);
     let mut placement = Placement::even(EXPERTS, RANKS, SLOTS);
     let before = skew(&placement.rank_loads(&counts));
     let mut last_copies = 0;
@@ -63,9 +65,9 @@
 }
 
 #[rstest]
-#[case::even(&[5.0, 5.1, 5.0, 4.9], &[1.0, 1.0, 1.0, 1.0], Slowness::None)]
-#[case::hot(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.8, 1.0], Slowness::Hot(2))]
-#[case::stalled(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.0, 1.0], Slowness::Stalled(2))]
-fn a_stalled_rank_is_told_from_a_hot_one(#[case] times: &[f64], #[case] loads: &[f64], #[case] verdict: Slowness) {
-    assert_eq!(diagnose(times, loads), verdict);
+#[case::even(&[5.0, 5.1, 5.0, 4.9], &[1.0, 1.0, 1.0, 1.0], SlowStepCause::None)]
+#[case::hot(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.8, 1.0], SlowStepCause::Hot(2))]
+#[case::stalled(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.0, 1.0], SlowStepCause::Stalled(2))]
+fn a_stalled_rank_is_told_from_a_hot_one(#[case] times: &[f64], #[case] loads: &[f64], #[case] verdict: SlowStepCause) {
+    assert_eq!(diagnose_slow_steps(times, loads), verdict);
 }
--- a/crates/ochreyard-core/tests/return_model.rs
+++ b/crates/ochreyard-core/tests/return_model.rs
@@ -6,7 +6,7 @@
 use ochreyard_core::direct::{
     BoxList, BoxRecord, EndpointChange, EndpointPool, EndpointRecord, GroupNews, RankNews, TellerRole,
 };
-use ochreyard_core::group_map::{Candidacy, candidate_place};
+use ochreyard_core::group_map::{Candidacy, candidate_position};
 use rstest::rstest;
 
 /// Ranks of a group.
@@ -35,7 +35,7 @@
 
 impl ModelBox {
     fn place(&self) -> usize {
-        candidate_place("tiles", (&self.name, &self.record), &self.others) + self.leads * self.others.len()
+        candidate_position("tiles", (&self.name, &self.record), &self.others) + self.leads * self.others.len()
     }
 }
 
@@ -95,7 +95,7 @@
             }
             let place = one.place();
             if one.candidacy.is_due(one.pool.unled_groups("tiles", now_ms), place, now_ms) {
-                one.candidacy.on_tried(now_ms + ASK_MS);
+                one.candidacy.on_attempt(now_ms + ASK_MS);
                 self.looks += 1;
                 self.looking.push((now_ms + ASK_MS, number, place));
             }
--- a/crates/ochreyard-core/tests/step_times.rs
+++ b/crates/ochreyard-core/tests/step_times.rs
@@ -18,12 +18,12 @@
 #[case::steps_that_are_not_known(0, Some(120), SMALL, true)]
 fn a_change_is_worth_it_near_the_aim_or_after_a_shift(
     #[case] step_ms: u64,
-    #[case] pause_aim_ms: Option<u64>,
+    #[case] target_gap_ms: Option<u64>,
     #[case] skew: (f64, f64),
     #[case] wanted: bool,
 ) {
-    let idle = StepTimes { step_ms, mean_skew: Some(1.2), pause_aim_ms, busy_share: 0.0 };
-    assert_eq!(idle.gain_from(skew), wanted);
+    let idle = StepTimes { step_ms, mean_skew: Some(1.2), target_gap_ms, utilization: 0.0 };
+    assert_eq!(idle.would_benefit(skew), wanted);
 }
 
 /// What follows the demand of a moment: many requests of a few callers.
@@ -38,18 +38,18 @@
 fn a_map_does_not_follow_demand_that_harms_nobody(
     #[case] step_ms: u64,
     #[case] mean_skew: Option<f64>,
-    #[case] busy_share: f64,
+    #[case] utilization: f64,
     #[case] wanted: bool,
 ) {
-    let times = StepTimes { step_ms, mean_skew, pause_aim_ms: Some(150), busy_share };
-    assert_eq!(times.gain_from(DRIFTED), wanted);
+    let times = StepTimes { step_ms, mean_skew, target_gap_ms: Some(150), utilization };
+    assert_eq!(times.would_benefit(DRIFTED), wanted);
 }
 
 /// A group that has just begun to work: its steps are short since hardly anything runs.
 #[test]
 fn a_high_skew_is_answered_before_the_load_comes() {
-    let times = StepTimes { step_ms: 20, mean_skew: Some(3.7), pause_aim_ms: Some(150), busy_share: 0.02 };
-    assert!(times.gain_from((3.7, 1.6)));
+    let times = StepTimes { step_ms: 20, mean_skew: Some(3.7), target_gap_ms: Some(150), utilization: 0.02 };
+    assert!(times.would_benefit((3.7, 1.6)));
 }
 
 fn route(prefix: &str, services: &[&str], gap_aim_ms: Option<u64>) -> Route {
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -14,7 +14,8 @@
 use futures::future::join_all;
 use ochreyard_core::direct::TellerRole;
 use ochreyard_core::group_map::{
-    ArmingTimes, Controller, ControllerSettings, Demand, LeaderId, Leadership, MeanSkew, Round, SentOrder, ShiftTimes,
+    ArmingTimes, Demand, LeaderId, Leadership, MapController, MapControllerSettings, MeanSkew, Round, SentOrder,
+    ShiftResponseTimes,
 };
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_rank::{Ask, Engines};
@@ -43,7 +44,7 @@
     /// Another one each time: then no number of a map is used twice.
     me: LeaderId,
     leadership: Leadership,
-    controller: Controller,
+    controller: MapController,
     members: Members,
     finding: Finding,
     sent_maps: SentMaps,
@@ -56,7 +57,7 @@
     counts_asked_ms: u64,
     /// Whether the demand has shifted since the change under way was planned.
     is_outdated: bool,
-    shift_times: ShiftTimes,
+    shift_times: ShiftResponseTimes,
     arming_times: ArmingTimes,
     pending: Vec<(usize, SentOrder)>,
     last_round: Round,
@@ -79,7 +80,7 @@
             settings,
             me,
             leadership: Leadership::new(settings.lease_ms),
-            controller: Controller::new(ControllerSettings::default(), hold_rank, me.life),
+            controller: MapController::new(MapControllerSettings::default(), hold_rank, me.life),
             members,
             finding: Finding::default(),
             sent_maps: SentMaps::default(),
@@ -90,7 +91,7 @@
             demand: None,
             counts_asked_ms: 0,
             is_outdated: false,
-            shift_times: ShiftTimes::default(),
+            shift_times: ShiftResponseTimes::default(),
             arming_times: ArmingTimes::default(),
             pending: Vec::new(),
             last_round: Round::default(),
@@ -135,13 +136,13 @@
         while !self.entry.is_stopping.get() {
             // A process may have stood still: what it knew of the group is void once its
             // grants have run out, even if it is granted again.
-            if is_leading && !self.leadership.holds(size, self.now_ms(), 0) {
+            if is_leading && !self.leadership.has_majority(size, self.now_ms(), 0) {
                 log::info!("event=leading_lapsed group={group}");
                 return;
             }
             let asked_ms = self.now_ms();
             let holder = self.round().await;
-            if !self.leadership.holds(size, self.now_ms(), 0) {
+            if !self.leadership.has_majority(size, self.now_ms(), 0) {
                 log::info!("event=leading_ended group={group} holder={holder:?}");
                 return;
             }
@@ -166,7 +167,7 @@
             self.look_at_hold_rank().await;
         }
         self.decide().await;
-        if self.controller.is_holding() {
+        if self.controller.is_placing_hold() {
             self.place_hold().await;
         }
         self.note_pace();
--- a/crates/ochreyard-lead/src/leader/decision.rs
+++ b/crates/ochreyard-lead/src/leader/decision.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ochreyard_core::group_map::{Phase, Round};
+use ochreyard_core::group_map::{ChangePhase, Round};
 use ochreyard_direct::Dialect;
 use ochreyard_rank::Engines;
 
@@ -28,7 +28,7 @@
     pub(super) async fn decide(&mut self) {
         let now_ms = self.now_ms();
         let size = self.last_round.views.len();
-        if !self.leadership.holds(size, now_ms, ORDER_MARGIN_MS) {
+        if !self.leadership.has_majority(size, now_ms, ORDER_MARGIN_MS) {
             return;
         }
         self.note_stuck(now_ms);
@@ -37,13 +37,13 @@
         let round = std::mem::take(&mut self.last_round);
         self.pending = self.controller.on_round(&round, now_ms);
         self.last_round = round;
-        if self.takes_proposal(now_ms) && self.propose(now_ms).await {
+        if self.accepts_proposal(now_ms) && self.propose(now_ms).await {
             // The first orders need not wait for another round.
             let views = self.last_round.views.clone();
             self.pending = self.controller.on_round(&Round { views, outcomes: Vec::new() }, now_ms);
         }
         if *self.controller.phase() != before {
-            let (switched, undone) = self.controller.counts();
+            let (switched, undone) = self.controller.change_counts();
             log::info!("event=map_phase phase={:?} switched={switched} undone={undone}", self.controller.phase());
             self.note_answer(now_ms);
             self.arming_times.on_phase(self.controller.phase(), now_ms);
@@ -52,9 +52,9 @@
 
     /// Whether a map may be proposed: while none changes, or in place of a change that was
     /// planned for what is no longer in demand.
-    fn takes_proposal(&self, now_ms: u64) -> bool {
+    fn accepts_proposal(&self, now_ms: u64) -> bool {
         let views = &self.last_round.views;
-        self.controller.takes_proposal(views, now_ms) || (self.is_outdated && self.controller.may_give_way(views))
+        self.controller.accepts_proposal(views, now_ms) || (self.is_outdated && self.controller.is_preemptible(views))
     }
 
     /// Tells how long it took to answer a shift of demand, once that is done.
@@ -89,13 +89,13 @@
             return ORDER_PAUSE;
         }
         match self.controller.phase() {
-            Phase::Idle if self.controller.is_about_to_switch(&self.last_round.views) => BUSY_PAUSE,
-            Phase::Idle => {
+            ChangePhase::Idle if self.controller.is_about_to_switch(&self.last_round.views) => BUSY_PAUSE,
+            ChangePhase::Idle => {
                 // Where rounds take long, no more than half of the time goes to them.
                 let took_ms = self.now_ms().saturating_sub(asked_ms);
                 Duration::from_millis(self.settings.round_ms.max(took_ms.min(self.settings.lease_ms / 4)))
             }
-            Phase::Preparing { .. } => COPY_PAUSE,
+            ChangePhase::Preparing { .. } => COPY_PAUSE,
             _ => BUSY_PAUSE,
         }
     }
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -1,7 +1,7 @@
 //! The map in use, the demand on it, and the proposal of a better map.
 
 use ochreyard_core::direct::EngineFigures;
-use ochreyard_core::group_map::{Demand, GroupPlacement, PlanSettings, Planned, Planner, RankView, StepTimes};
+use ochreyard_core::group_map::{Demand, GroupPlacement, PlanSettings, PlannedMap, Planner, RankView, StepTimes};
 use ochreyard_direct::Dialect;
 use ochreyard_rank::{Engines, Lists};
 
@@ -39,7 +39,7 @@
         let now_ms = self.now_ms();
         let fade_ms = self.settings.fade_ms as f64;
         let demand = self.demand.get_or_insert_with(|| Demand::new(chosen.len(), fade_ms));
-        if demand.add(chosen, now_ms) {
+        if demand.observe(chosen, now_ms) {
             self.is_outdated = true;
             self.shift_times.on_shift(now_ms);
             log::info!("event=demand_shifted service={} phase={:?}", self.service, self.controller.phase());
@@ -56,14 +56,14 @@
             let ranks: Vec<Vec<Vec<u16>>> = all.iter().map(|list| list.experts.clone()).collect();
             let placement = GroupPlacement::from_ranks(figures.experts, &ranks);
             if placement.is_complete() {
-                self.controller.set_present(first.version, placement);
+                self.controller.set_current_map(first.version, placement);
             }
         }
     }
 
     /// Load of the most loaded rank over the mean, under the map in use and the demand.
     pub(super) fn present_skew(&self) -> Option<f64> {
-        let (_, present) = self.controller.present()?;
+        let (_, present) = self.controller.current_map()?;
         let demand = self.demand.as_ref()?;
         let wanted = present.experts() * present.sets().len();
         let paces = self.paces();
@@ -73,15 +73,15 @@
     /// Notes the skew under which the steps of late were made.
     pub(super) fn note_skew(&mut self) {
         if let Some(skew) = self.present_skew() {
-            self.mean_skew.note(skew, self.now_ms());
+            self.mean_skew.observe(skew, self.now_ms());
         }
     }
 
     fn step_times(&self) -> StepTimes {
         let state = self.entry.state.borrow();
-        let pause_aim_ms = state.table.as_ref().and_then(|table| table.pause_aim_ms(&self.service));
+        let target_gap_ms = state.table.as_ref().and_then(|table| table.pause_aim_ms(&self.service));
         let step_ms = self.progress.step_ms();
-        StepTimes { step_ms, mean_skew: self.mean_skew.mean(), pause_aim_ms, busy_share: self.busy_share() }
+        StepTimes { step_ms, mean_skew: self.mean_skew.mean(), target_gap_ms, utilization: self.busy_share() }
     }
 
     /// Requests that run, as a share of the places of all ranks.
@@ -101,27 +101,29 @@
         let planned = self.plan().await;
         let planned_ms = self.now_ms();
         self.search_ms = planned_ms - now_ms;
-        let Some(planned) = planned.filter(|planned| self.step_times().gain_from(planned.skew)) else { return false };
+        let Some(planned) = planned.filter(|planned| self.step_times().would_benefit(planned.skew)) else {
+            return false;
+        };
         log::info!(
             "event=map_proposed skew_before={:.3} skew_after={:.3} copies_of_rank={} saving_ms={:.0} planning_ms={}",
             planned.skew.0,
             planned.skew.1,
-            planned.copies_of_rank,
+            planned.max_copies_per_rank,
             planned.saving_ms,
             self.search_ms
         );
         self.is_outdated = false;
         self.shift_times.on_proposed(planned_ms);
-        self.controller.propose(planned.placement, planned.copies_of_rank, now_ms);
+        self.controller.propose(planned.placement, planned.max_copies_per_rank, now_ms);
         true
     }
 
     /// The map that is worth a change, if the demand is known well enough and there is one.
     ///
     /// The search takes a thread of its own: callers are answered meanwhile.
-    async fn plan(&self) -> Option<Planned> {
+    async fn plan(&self) -> Option<PlannedMap> {
         let figures = self.entry.engine_figures(&self.service)?;
-        let (_, present) = self.controller.present()?;
+        let (_, present) = self.controller.current_map()?;
         let demand = self.demand.as_ref().filter(|demand| is_known(demand, &figures))?;
         let arming_ms = self.arming_times.mean_ms();
         let planner = Planner::new(plan_settings(&figures, &self.settings, arming_ms));
@@ -137,7 +139,7 @@
 /// Whether a demand rests on enough choices, all of them from after the last shift.
 fn is_known(demand: &Demand, figures: &EngineFigures) -> bool {
     let enough = demand.rates().len() as f64 * LEAST_CHOICES_PER_EXPERT;
-    demand.rates().len() == figures.sets * figures.experts && demand.weight() >= enough && !demand.is_mixed()
+    demand.rates().len() == figures.sets * figures.experts && demand.weight() >= enough && !demand.is_mostly_stale()
 }
 
 /// How much longer work takes at a rank than usual; faster than usual counts as usual.
@@ -147,12 +149,12 @@
 
 fn plan_settings(figures: &EngineFigures, settings: &LeaderSettings, arming_ms: f64) -> PlanSettings {
     PlanSettings {
-        places: figures.places,
-        spare: figures.spare,
+        slots: figures.places,
+        spare_slots: figures.spare,
         copy_ms: figures.expert_mb * BITS_PER_BYTE / figures.link_mbps.max(1.0) * MS_PER_S,
         switch_ms: SWITCH_MS,
-        copy_drag: COPY_DRAG,
-        copy_cost: COPY_COST,
+        copy_slowdown: COPY_DRAG,
+        copy_time_cost: COPY_COST,
         horizon_ms: settings.horizon_ms as f64,
         copy_price_ms: settings.copy_price_ms,
         least_saving_ms: (settings.least_saving_ms as f64).max(ARMING_COST * arming_ms),
--- a/crates/ochreyard-lead/src/questions.rs
+++ b/crates/ochreyard-lead/src/questions.rs
@@ -43,7 +43,7 @@
 /// Asks an agent, one of several that are asked at once; `None` where no readable
 /// answer comes in time.
 pub async fn ask_agent(link: Rc<CallLink>, ask: Ask, asked_at_once: usize) -> Option<Told> {
-    let bytes: usize = ask.orders.iter().map(|sent| sent.order.size_hint()).sum();
+    let bytes: usize = ask.orders.iter().map(|sent| sent.order.estimated_bytes()).sum();
     let on_link = Duration::from_millis((bytes * asked_at_once / LINK_BYTES_PER_MS) as u64);
     match link.post(RANK_PATH, &ask, ASK_TIMEOUT + on_link).await {
         Ok(response) => serde_json::from_slice(response.body()).ok(),
--- a/crates/ochreyard-lead/src/sent_maps.rs
+++ b/crates/ochreyard-lead/src/sent_maps.rs
@@ -1,6 +1,6 @@
 //! The maps that ranks were sent last: one that knows the map before is sent the change only.
 
-use ochreyard_core::group_map::{MapChange, Order, SentOrder};
+use ochreyard_core::group_map::{MapDelta, Order, SentOrder};
 
 use ochreyard_rank::{Ask, NumberedMap};
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SentMaps {
     newest: Option<NumberedMap>,
-    change: Option<MapChange>,
+    change: Option<MapDelta>,
 }
 
 impl SentMaps {
@@ -23,7 +23,7 @@
                 continue;
             }
             let before = self.newest.replace(NumberedMap { version, experts: map.clone() });
-            self.change = before.and_then(|before| MapChange::between(before.version, &before.experts, map));
+            self.change = before.and_then(|before| MapDelta::between(before.version, &before.experts, map));
         }
     }
 
--- a/crates/ochreyard-lead/src/service_watch.rs
+++ b/crates/ochreyard-lead/src/service_watch.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::group_map::{Candidacy, candidate_place};
+use ochreyard_core::group_map::{Candidacy, candidate_position};
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_rank::Engines;
 
@@ -72,7 +72,7 @@
             self.service,
             group.as_ref().map_or("-", |members| members.group.as_str())
         );
-        self.candidacy.on_tried(self.entry.clock.now_ms());
+        self.candidacy.on_attempt(self.entry.clock.now_ms());
         if let Some(members) = group {
             self.start_leading(members);
         }
@@ -85,7 +85,7 @@
         let own = (self.entry.identity.name.as_str(), &self.entry.identity.record);
         let is_slow = self.entry.clock.now_ms() < self.slow_until_ms.get();
         let passes = self.led.borrow().len() + usize::from(is_slow);
-        candidate_place(&self.service, own, &state.boxes) + passes * state.boxes.len()
+        candidate_position(&self.service, own, &state.boxes) + passes * state.boxes.len()
     }
 
     fn engines_known(&self) -> Vec<EngineAt> {
--- a/crates/ochreyard-rank/src/agent.rs
+++ b/crates/ochreyard-rank/src/agent.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use ochreyard_core::group_map::{ChosenCounts, Grant, LeaderId, Order, OrderOutcome, RankView, SentOrder};
+use ochreyard_core::group_map::{LeaderGrant, LeaderId, Order, OrderOutcome, RankView, SelectionCounts, SentOrder};
 use ochreyard_process::Clock;
 
 use crate::engine::{Counts, EngineError, RankEngine};
@@ -24,7 +24,7 @@
     engine: E,
     engine_addr: SocketAddr,
     clock: Clock,
-    grant: RefCell<Grant>,
+    grant: RefCell<LeaderGrant>,
     told_counts: RefCell<Option<ToldCounts>>,
     known_map: RefCell<Option<NumberedMap>>,
     is_reachable: Cell<bool>,
@@ -33,7 +33,7 @@
 impl<E: RankEngine> Agent<E> {
     /// An agent that starts now. It grants nothing for longer than `lease_ms`.
     pub fn new(engine: E, engine_addr: SocketAddr, lease_ms: u64, clock: Clock) -> Rc<Self> {
-        let grant = RefCell::new(Grant::new(lease_ms, clock.now_ms()));
+        let grant = RefCell::new(LeaderGrant::new(lease_ms, clock.now_ms()));
         Rc::new(Self {
             engine,
             engine_addr,
@@ -63,7 +63,7 @@
             return Told::default();
         }
         let now_ms = self.clock.now_ms();
-        let granted = self.grant.borrow_mut().ask(&ask.leader, ask.lease_ms, now_ms);
+        let granted = self.grant.borrow_mut().try_grant(&ask.leader, ask.lease_ms, now_ms);
         let holder = self.grant.borrow().holder(now_ms).filter(|_| !granted).copied();
         let outcomes = if granted { self.carry_out(ask).await } else { Vec::new() };
         let view = self.look().await;
@@ -74,11 +74,11 @@
     }
 
     /// What the rank has chosen since `leader` was last told.
-    async fn chosen_for(&self, leader: &LeaderId) -> Option<ChosenCounts> {
+    async fn chosen_for(&self, leader: &LeaderId) -> Option<SelectionCounts> {
         let counts = self.noted(self.engine.counts().await)?;
         let told = ToldCounts { leader: *leader, counts };
         let before = self.told_counts.replace(Some(told.clone())).filter(|before| before.leader == *leader)?;
-        Some(ChosenCounts::new(&told.counts.since(&before.counts)))
+        Some(SelectionCounts::new(&told.counts.since(&before.counts)))
     }
 
     async fn carry_out(&self, ask: &Ask) -> Vec<OrderOutcome> {
--- a/crates/ochreyard-rank/src/engine.rs
+++ b/crates/ochreyard-rank/src/engine.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-use ochreyard_core::group_map::{OrderOutcome, RankView, SentOrder, chosen_between};
+use ochreyard_core::group_map::{OrderOutcome, RankView, SentOrder, selections_between};
 use serde::{Deserialize, Serialize};
 
 /// Why an engine told nothing.
@@ -37,7 +37,7 @@
     #[must_use]
     pub fn since(&self, before: &Self) -> Vec<u64> {
         let is_same_life = self.born_ms == before.born_ms;
-        chosen_between(if is_same_life { &before.counts } else { &[] }, &self.counts)
+        selections_between(if is_same_life { &before.counts } else { &[] }, &self.counts)
     }
 }
 
--- a/crates/ochreyard-rank/src/message.rs
+++ b/crates/ochreyard-rank/src/message.rs
@@ -1,6 +1,6 @@
 //! What a leader asks an agent, and what it is told.
 
-use ochreyard_core::group_map::{ChosenCounts, LeaderId, MapChange, OrderOutcome, RankView, SentOrder};
+use ochreyard_core::group_map::{LeaderId, MapDelta, OrderOutcome, RankView, SelectionCounts, SentOrder};
 use serde::{Deserialize, Serialize};
 
 use crate::engine::Lists;
@@ -29,7 +29,7 @@
     pub orders: Vec<SentOrder>,
     /// The map of an order to prepare that holds none, as a change of one that the agent knows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub map_change: Option<MapChange>,
+    pub map_change: Option<MapDelta>,
     /// Whether it is wanted what the rank has chosen since it last told this leader.
     #[serde(default, skip_serializing_if = "is_false")]
     pub wants_counts: bool,
@@ -59,7 +59,7 @@
     pub outcomes: Vec<OrderOutcome>,
     /// What the rank has chosen since it last told this leader; nothing the first time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub chosen: Option<ChosenCounts>,
+    pub chosen: Option<SelectionCounts>,
     /// The held experts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lists: Option<Lists>,
--- a/crates/ochreyard-rank/src/numbered_map.rs
+++ b/crates/ochreyard-rank/src/numbered_map.rs
@@ -1,6 +1,6 @@
 //! A map of a group as an agent or a leader remembers it.
 
-use ochreyard_core::group_map::Experts;
+use ochreyard_core::group_map::ExpertMap;
 
 /// A map and its number.
 #[derive(Debug, Clone)]
@@ -8,5 +8,5 @@
     /// Its number.
     pub version: u64,
     /// Its experts by set and rank.
-    pub experts: Experts,
+    pub experts: ExpertMap,
 }
--- a/crates/ochreyard-rank/tests/message_size.rs
+++ b/crates/ochreyard-rank/tests/message_size.rs
@@ -1,6 +1,6 @@
 //! What a round of a leader carries: links of a few megabits a second bind first.
 
-use ochreyard_core::group_map::{ChosenCounts, LeaderId, RankView};
+use ochreyard_core::group_map::{LeaderId, RankView, SelectionCounts};
 use ochreyard_rank::{Ask, Told};
 use rstest::rstest;
 
@@ -25,7 +25,7 @@
     }
 }
 
-fn told(chosen: Option<ChosenCounts>) -> Told {
+fn told(chosen: Option<SelectionCounts>) -> Told {
     let view = RankView {
         group: "g0-0".into(),
         rank: 95,
@@ -50,7 +50,7 @@
 fn round_bytes(ranks: usize, counts: usize) -> usize {
     let plain = bytes(&ask()) + bytes(&told(None)) + HEAD_BYTES;
     let chosen: Vec<u64> = (0..counts as u64).collect();
-    let counted = bytes(&told(Some(ChosenCounts::new(&chosen)))) - bytes(&told(None));
+    let counted = bytes(&told(Some(SelectionCounts::new(&chosen)))) - bytes(&told(None));
     ranks * plain + COUNTED_RANKS.min(ranks) * counted
 }
 
