--- a/crates/ochreyard-core/src/group_map.rs
+++ b/crates/ochreyard-core/src/group_map.rs
@@ -1,9 +1,9 @@
-//! One expert map for all ranks of a group, where engines take the orders
-//! prepare, hold, arm and go, may lose them, and may carry them out late.
+//! Changes the expert map that all ranks of a group share. Engines accept the orders
+//! prepare, hold, arm and go; an order may be lost or carried out late.
 //!
-//! A [`MapController`] drives one change at a time from fresh views of all ranks.
-//! A [`LeaderGrant`] in each agent makes sure that only one controller gives orders.
-//! [`Demand`] and [`Planner`] decide what map is worth a change.
+//! A [`MapController`] drives one change at a time from recent views of all ranks.
+//! A [`LeaderGrant`] in each agent ensures that only one controller gives orders.
+//! [`Demand`] and [`Planner`] decide which map is worth a change.
 
 mod arming_times;
 mod candidacy;
--- a/crates/ochreyard-core/src/group_map/arming_times.rs
+++ b/crates/ochreyard-core/src/group_map/arming_times.rs
@@ -1,32 +1,32 @@
-//! How long ranks take to arm a map, of late: a step that is held may wait for it.
+//! The recent time that ranks take to arm a map: a held step may have to wait this long.
 
 use super::controller::ChangePhase;
 
-/// Share of one more change in the mean: three quick ones make up for a slow one.
-const NEWEST_SHARE: f64 = 0.5;
+/// Weight of the newest change in the mean: three fast changes make up for a slow one.
+const NEWEST_WEIGHT: f64 = 0.5;
 
-/// Follows the changes of one leader.
+/// The exponentially weighted mean of the arming times of one leader's changes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ArmingTimes {
-    began_ms: Option<u64>,
+    arming_since_ms: Option<u64>,
     mean_ms: Option<f64>,
 }
 
 impl ArmingTimes {
-    /// The controller has come to another phase.
+    /// Records that the controller entered `phase`.
     pub fn on_phase(&mut self, phase: &ChangePhase, now_ms: u64) {
-        let began_ms = self.began_ms.take();
+        let arming_since_ms = self.arming_since_ms.take();
         if matches!(phase, ChangePhase::Arming { .. }) {
-            self.began_ms = Some(now_ms);
+            self.arming_since_ms = Some(now_ms);
             return;
         }
-        if let Some(began_ms) = began_ms {
-            let took_ms = now_ms.saturating_sub(began_ms) as f64;
-            self.mean_ms = Some(self.mean_ms.map_or(took_ms, |mean| mean + NEWEST_SHARE * (took_ms - mean)));
+        if let Some(arming_since_ms) = arming_since_ms {
+            let took_ms = now_ms.saturating_sub(arming_since_ms) as f64;
+            self.mean_ms = Some(self.mean_ms.map_or(took_ms, |mean| mean + NEWEST_WEIGHT * (took_ms - mean)));
         }
     }
 
-    /// The mean, the newest changes weighing most, in milliseconds; 0 before the first one.
+    /// The mean arming time, weighted towards recent changes, in milliseconds; 0 before the first change.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms.unwrap_or(0.0)
--- a/crates/ochreyard-core/src/group_map/controller/advance.rs
+++ b/crates/ochreyard-core/src/group_map/controller/advance.rs
@@ -1,9 +1,9 @@
-//! When a phase of a change has come to its end, and what follows.
+//! Detects the end of each phase of a change and enters the next phase.
 
 use super::{ChangePhase, MapController, newest_step};
 use crate::group_map::RankView;
 
-/// A step that is being held for a map, and the rank at which.
+/// A step that is being held for a map, and the rank of the hold.
 #[derive(Debug, Clone, Copy)]
 struct Hold {
     version: u64,
@@ -12,10 +12,10 @@
 }
 
 impl MapController {
-    /// Goes on to the next phase, if the views say that this one has come to its end.
+    /// Enters the next phase if the views show that the present one has ended.
     pub(super) fn advance(&mut self, views: &[&RankView], now_ms: u64) {
         match self.phase.clone() {
-            ChangePhase::Idle => self.look_for_left_holds(views, now_ms),
+            ChangePhase::Idle => self.detect_leftover_hold(views, now_ms),
             ChangePhase::Preparing { version } => self.advance_preparing(views, version, now_ms),
             ChangePhase::Holding { version, step, rank } => {
                 self.advance_holding(views, Hold { version, step, rank }, now_ms)
@@ -30,24 +30,24 @@
         }
     }
 
-    /// Time since the phase began.
+    /// Time since the phase began, in milliseconds.
     pub(super) const fn waited_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.since_ms)
+        now_ms.saturating_sub(self.phase_since_ms)
     }
 
     fn advance_preparing(&mut self, views: &[&RankView], version: u64, now_ms: u64) {
         if views.iter().all(|view| view.prepared == Some(version)) {
-            self.refused_in_turn = 0;
+            self.consecutive_refusals = 0;
             self.hold_ahead(views, version, now_ms);
-        } else if self.waited_ms(now_ms) > self.timeout_ms {
+        } else if self.waited_ms(now_ms) > self.prepare_timeout_ms {
             self.give_up(now_ms);
         }
     }
 
-    /// Holds a step that no hold was ever placed for.
+    /// Starts to hold a step for which no hold was placed before.
     fn hold_ahead(&mut self, views: &[&RankView], version: u64, now_ms: u64) {
         let step = newest_step(views) + self.settings.steps_ahead;
-        self.clear_from = Some(step);
+        self.hold_allowed_from_step = Some(step);
         let rank = self.hold_rank.min(views.len() - 1);
         self.enter(ChangePhase::Holding { version, step, rank }, now_ms);
     }
@@ -58,8 +58,8 @@
             self.held_step = step;
             self.enter(ChangePhase::Arming { version, step }, now_ms);
         } else if newest_step(views) >= step {
-            // The hold was lost, and comes too late from now on. Nothing is armed, and the
-            // copies are there.
+            // The hold order was lost and would now be too late. Nothing is armed yet, and the
+            // experts have been copied, so a later step is held.
             self.hold_ahead(views, version, now_ms);
         } else if self.waited_ms(now_ms) > self.settings.hold_timeout_ms {
             self.undo(now_ms);
@@ -78,36 +78,36 @@
     }
 
     fn advance_backing(&mut self, views: &[&RankView], step: u64, rank: usize, now_ms: u64) {
-        // Too late for this step: what is left is looked at again.
-        let is_late = newest_step(views) >= step;
-        // The former leader's release came through: all of its ranks were armed.
+        // The step has begun, so a hold would be too late: the remaining holds are checked again.
+        let is_too_late = newest_step(views) >= step;
+        // The former leader's release was carried out, so all of its ranks were armed.
         let is_released = views.iter().all(|view| view.held.is_none());
         if views[rank].held == Some(step) {
             self.held_step = step;
             self.undo(now_ms);
-        } else if is_late || is_released {
+        } else if is_too_late || is_released {
             self.enter(ChangePhase::Idle, now_ms);
         }
     }
 
-    /// Whether no rank is armed, and no arm under way can still take effect.
+    /// Whether no rank is armed and no arm order in flight can still take effect.
     pub(super) fn is_undone(&self, views: &[&RankView]) -> bool {
         views.iter().all(|view| view.armed.is_none()) && self.unfenced.iter().all(Option::is_none)
     }
 
-    /// A hold that nobody here placed was left by a former leader, whose arms may
-    /// be under way at any rank.
-    fn look_for_left_holds(&mut self, views: &[&RankView], now_ms: u64) {
+    /// Detects a hold that this controller did not place: a former leader left it, and arm
+    /// orders of that leader may be in flight to any rank.
+    fn detect_leftover_hold(&mut self, views: &[&RankView], now_ms: u64) {
         let Some(held) = views.iter().find_map(|view| view.held) else { return };
-        // What is armed may be due before the step that is held.
-        let next = newest_step(views) + self.settings.steps_ahead;
-        let armed = views.iter().filter_map(|view| view.armed).map(|armed| armed.step.unwrap_or(next));
+        // An armed map may take effect before the held step.
+        let next_step = newest_step(views) + self.settings.steps_ahead;
+        let armed = views.iter().filter_map(|view| view.armed).map(|armed| armed.step.unwrap_or(next_step));
         let step = armed.chain([held]).min().unwrap_or(held);
-        self.clear_from = self.clear_from.max(Some(held));
+        self.hold_allowed_from_step = self.hold_allowed_from_step.max(Some(held));
         let highest = self.highest_version;
         self.unfenced = vec![Some(highest); views.len()];
-        let own = Some(self.hold_rank).filter(|rank| views.get(*rank).is_some_and(|view| view.held.is_none()));
-        match own.or_else(|| views.iter().position(|view| view.held.is_none())) {
+        let own_rank = Some(self.hold_rank).filter(|rank| views.get(*rank).is_some_and(|view| view.held.is_none()));
+        match own_rank.or_else(|| views.iter().position(|view| view.held.is_none())) {
             Some(rank) => self.enter(ChangePhase::Backing { step, rank }, now_ms),
             None => self.undo(now_ms),
         }
--- a/crates/ochreyard-core/src/group_map/controller/orders.rs
+++ b/crates/ochreyard-core/src/group_map/controller/orders.rs
@@ -1,20 +1,20 @@
-//! Which orders are due, by phase.
+//! The orders that are due in each phase.
 
 use super::{ChangePhase, MapController, newest_step};
 use crate::group_map::{ArmedMap, Order, RankView, SentOrder};
 
 impl MapController {
-    /// The orders that are due in the present phase, as sent to each rank.
+    /// Returns the orders that are due in the present phase, with the rank of each.
     pub(super) fn orders(&mut self, views: &[&RankView], now_ms: u64) -> Vec<(usize, SentOrder)> {
-        if now_ms < self.next_sent_ms {
+        if now_ms < self.next_send_ms {
             return Vec::new();
         }
         let orders = self.due_orders(views);
         if orders.is_empty() {
             return Vec::new();
         }
-        let is_slow = matches!(self.phase, ChangePhase::Preparing { .. } | ChangePhase::Undoing);
-        self.next_sent_ms = if is_slow { now_ms + self.settings.resend_ms } else { now_ms };
+        let has_resend_pause = matches!(self.phase, ChangePhase::Preparing { .. } | ChangePhase::Undoing);
+        self.next_send_ms = if has_resend_pause { now_ms + self.settings.resend_ms } else { now_ms };
         let sent = |(rank, order): (usize, Order)| {
             let view = views[rank];
             (rank, SentOrder { order, epoch: view.epoch, expected_sequence: view.sequence })
@@ -34,19 +34,19 @@
             ChangePhase::Idle => Vec::new(),
             ChangePhase::Preparing { version } => {
                 let Some(target) = &self.target else { return Vec::new() };
-                // A rank that still copies for a change which gave way takes the new one at once.
-                let is_first = self.next_sent_ms == self.since_ms;
-                let lacks =
+                // A rank that is still copying for a replaced change is sent the new order at once.
+                let is_first = self.next_send_ms == self.phase_since_ms;
+                let needs_order =
                     |rank: &usize| views[*rank].prepared != Some(version) && (is_first || !views[*rank].is_busy);
                 let map = target.sets();
-                ranks.filter(lacks).map(|rank| (rank, Order::Prepare { version, map: map.to_vec() })).collect()
+                ranks.filter(needs_order).map(|rank| (rank, Order::Prepare { version, map: map.to_vec() })).collect()
             }
             ChangePhase::Holding { step, rank, .. } | ChangePhase::Backing { step, rank } => {
                 vec![(rank, Order::Hold { step })]
             }
             ChangePhase::Arming { version, step } => {
-                let lacks = |rank: &usize| views[*rank].armed.is_none();
-                ranks.filter(lacks).map(|rank| (rank, Order::Arm { version, step })).collect()
+                let needs_order = |rank: &usize| views[*rank].armed.is_none();
+                ranks.filter(needs_order).map(|rank| (rank, Order::Arm { version, step })).collect()
             }
             ChangePhase::Releasing => {
                 let held = |rank: usize| views[rank].held.map(|step| (rank, Order::Go { step }));
@@ -62,12 +62,13 @@
         }
         let version = self.next_version();
         let map = self.current_map.as_ref().map(|(_, placement)| placement.sets().to_vec());
-        // A map that is due before our hold may come into use meanwhile: at all ranks or at none.
-        let stands = newest_step(views) + 1 >= self.held_step;
-        let is_held = |armed: ArmedMap| stands || armed.step.is_some_and(|step| step >= self.held_step);
+        // A map that is armed for a step before our hold may take effect meanwhile, at all ranks or at none.
+        let has_reached_hold = newest_step(views) + 1 >= self.held_step;
+        let is_behind_hold =
+            |armed: ArmedMap| has_reached_hold || armed.step.is_some_and(|step| step >= self.held_step);
         let order = |rank: usize| match views[rank].armed {
-            Some(armed) => is_held(armed).then_some(Order::Disarm { version: armed.version }),
-            // The present map copies nothing, and still counts as an order.
+            Some(armed) => is_behind_hold(armed).then_some(Order::Disarm { version: armed.version }),
+            // Preparing the current map copies nothing but still voids late arm orders.
             None if self.unfenced[rank].is_some() => Some(Order::Prepare { version, map: map.clone()? }),
             None => None,
         };
--- a/crates/ochreyard-core/src/group_map/controller/phase.rs
+++ b/crates/ochreyard-core/src/group_map/controller/phase.rs
@@ -1,40 +1,40 @@
-//! The phases of a change.
+//! The phases of a map change.
 
-/// Where a change stands.
+/// The phase of a map change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangePhase {
-    /// No change.
+    /// No change is in progress.
     Idle,
-    /// The ranks copy experts.
+    /// The ranks are copying experts.
     Preparing {
-        /// The map.
+        /// Version of the new map.
         version: u64,
     },
-    /// A step ahead is being held at one rank.
+    /// A hold of a future step is being placed at one rank.
     Holding {
-        /// The map.
+        /// Version of the new map.
         version: u64,
-        /// The step.
+        /// The step to hold.
         step: u64,
-        /// The rank.
+        /// The rank of the hold.
         rank: usize,
     },
-    /// The ranks arm the map.
+    /// The ranks are arming the map.
     Arming {
-        /// The map.
+        /// Version of the new map.
         version: u64,
         /// The first step that uses it.
         step: u64,
     },
-    /// All ranks are armed, or all are undone: holds are released.
+    /// The holds are being released, after the map was armed, or the change undone, at all ranks.
     Releasing,
-    /// A former leader's hold is backed by one of our own.
+    /// This controller is placing a hold of its own beside one that a former leader left.
     Backing {
         /// The held step.
         step: u64,
         /// The rank of our own hold.
         rank: usize,
     },
-    /// Armed ranks are disarmed, and late arms are made void.
+    /// Armed ranks are being disarmed and late arm orders voided.
     Undoing,
 }
--- a/crates/ochreyard-core/src/group_map/controller/round.rs
+++ b/crates/ochreyard-core/src/group_map/controller/round.rs
@@ -1,12 +1,12 @@
-//! One exchange of a leader with all ranks.
+//! One polling round of a leader over all ranks.
 
 use crate::group_map::{OrderOutcome, RankView, SentOrder};
 
-/// What one exchange with all ranks brought.
+/// The results of polling all ranks once.
 #[derive(Debug, Clone, Default)]
 pub struct Round {
-    /// A fresh view of each rank, where one came.
+    /// By rank: the new view, or `None` if the rank did not answer.
     pub views: Vec<Option<RankView>>,
-    /// What became of the orders that were sent, by rank.
+    /// The outcomes of the orders that were sent, with the rank of each.
     pub outcomes: Vec<(usize, SentOrder, OrderOutcome)>,
 }
--- a/crates/ochreyard-core/src/group_map/leader_id.rs
+++ b/crates/ochreyard-core/src/group_map/leader_id.rs
@@ -1,11 +1,11 @@
-//! Who leads a group, or wants to.
+//! The identity of a leader, or candidate for leader, of a group.
 
 use serde::{Deserialize, Serialize};
 
-/// One life of one entry, as a leader.
+/// Identifies one incarnation of one entry as a leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaderId {
-    /// A number that no other life of any box has.
+    /// The incarnation's number, which is unique among the incarnations of all boxes.
     pub life: u64,
 }
--- a/crates/ochreyard-core/src/group_map/leadership.rs
+++ b/crates/ochreyard-core/src/group_map/leadership.rs
@@ -1,8 +1,8 @@
-//! A leader's side of the grants: see [`LeaderGrant`](super::Grant).
+//! The grants that a leader has received: see [`LeaderGrant`](super::LeaderGrant).
 
 use std::collections::BTreeMap;
 
-/// A leader's side: how long it may give orders.
+/// Until when each rank's agent lets this leader give orders.
 #[derive(Debug, Clone)]
 pub struct Leadership {
     lease_ms: u64,
@@ -10,30 +10,30 @@
 }
 
 impl Leadership {
-    /// A leader that nobody has granted anything.
+    /// Creates the state of a leader that holds no grant.
     #[must_use]
     pub const fn new(lease_ms: u64) -> Self {
         Self { lease_ms, granted_until_ms: BTreeMap::new() }
     }
 
-    /// A rank's agent answered a question that was sent at `asked_ms`.
-    pub fn on_answer(&mut self, rank: usize, granted: bool, asked_ms: u64) {
+    /// Records the answer of a rank's agent to a request that was sent at `sent_ms`.
+    pub fn on_answer(&mut self, rank: usize, granted: bool, sent_ms: u64) {
         if granted {
-            self.granted_until_ms.insert(rank, asked_ms + self.lease_ms);
+            self.granted_until_ms.insert(rank, sent_ms + self.lease_ms);
         } else {
             self.granted_until_ms.remove(&rank);
         }
     }
 
-    /// Forgets all grants.
+    /// Drops all grants.
     pub fn clear(&mut self) {
         self.granted_until_ms.clear();
     }
 
-    /// Whether more than half of `size` agents have granted it for at least `margin_ms` more.
+    /// Whether more than half of `size` agents have granted the leadership for at least another `margin_ms`.
     #[must_use]
     pub fn has_majority(&self, size: usize, now_ms: u64, margin_ms: u64) -> bool {
         let granted = self.granted_until_ms.iter().filter(|(rank, _)| **rank < size);
-        granted.filter(|(_, until)| now_ms + margin_ms < **until).count() * 2 > size
+        granted.filter(|(_, until_ms)| now_ms + margin_ms < **until_ms).count() * 2 > size
     }
 }
--- a/crates/ochreyard-core/src/group_map/mean_skew.rs
+++ b/crates/ochreyard-core/src/group_map/mean_skew.rs
@@ -1,25 +1,26 @@
-//! The skew of a group over the last steps.
+//! The mean skew of a group over its recent steps.
 
-/// After this time a skew has lost most of its weight in the mean, in milliseconds: as long as the mean of steps looks back.
-const FADE_MS: f64 = 400.0;
+/// Time after which a skew has lost most of its weight in the mean, in milliseconds: the same
+/// period as that of the mean step time.
+const DECAY_MS: f64 = 400.0;
 
-/// The mean skew of late.
+/// The exponentially decaying mean of the recent skew.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MeanSkew {
     mean: Option<f64>,
-    noted_ms: u64,
+    observed_ms: u64,
 }
 
 impl MeanSkew {
-    /// The skew that a round showed.
+    /// Adds the skew that a polling round showed.
     pub fn observe(&mut self, skew: f64, now_ms: u64) {
-        let age_ms = now_ms.saturating_sub(self.noted_ms) as f64;
-        let keep = (-age_ms / FADE_MS).exp();
-        self.mean = Some(self.mean.map_or(skew, |mean| keep * mean + (1.0 - keep) * skew));
-        self.noted_ms = now_ms;
+        let age_ms = now_ms.saturating_sub(self.observed_ms) as f64;
+        let retained_weight = (-age_ms / DECAY_MS).exp();
+        self.mean = Some(self.mean.map_or(skew, |mean| retained_weight * mean + (1.0 - retained_weight) * skew));
+        self.observed_ms = now_ms;
     }
 
-    /// The mean, once a skew is known.
+    /// The mean skew, once a skew has been observed.
     #[must_use]
     pub const fn mean(&self) -> Option<f64> {
         self.mean
--- a/crates/ochreyard-core/src/group_map/order.rs
+++ b/crates/ochreyard-core/src/group_map/order.rs
@@ -1,13 +1,13 @@
-//! Orders to one rank, and what a rank tells of itself.
+//! Orders to one rank, and the state that a rank reports.
 
 use serde::{Deserialize, Serialize};
 
 /// An order to one rank.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Copy the experts of this map that are new to the rank.
+    /// Copy the experts of this map that the rank does not hold yet.
     Prepare {
-        /// Number of the map; above every number before.
+        /// Version of the map; higher than every earlier one.
         version: u64,
         /// Experts by set and rank.
         #[serde(with = "super::compact_map")]
@@ -15,19 +15,19 @@
     },
     /// Use a prepared map from this step on.
     Arm {
-        /// Number of the map.
+        /// Version of the map.
         version: u64,
         /// The first step that uses it.
         step: u64,
     },
-    /// Forget what was armed.
+    /// Cancel the use of an armed map.
     Disarm {
-        /// Number of the map.
+        /// Version of the map.
         version: u64,
     },
-    /// The group does not begin this step until it is released at this rank.
+    /// Keep the group from beginning this step until the hold at this rank is released.
     Hold {
-        /// The step.
+        /// The step to hold.
         step: u64,
     },
     /// Release a hold.
@@ -38,7 +38,7 @@
 }
 
 impl Order {
-    /// About how many bytes it takes as a message.
+    /// Estimates the size of the order as a message, in bytes.
     #[must_use]
     pub fn estimated_bytes(&self) -> usize {
         const HEAD_BYTES: usize = 100;
@@ -53,77 +53,77 @@
     }
 }
 
-/// An order as it is sent: it fits one state of one epoch of the group only.
+/// An order as it is sent: it is valid for only one state of one epoch of the group.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SentOrder {
     /// The order.
     pub order: Order,
-    /// The epoch of the group that is meant.
+    /// The epoch of the group that the order is meant for.
     pub epoch: u64,
-    /// Orders that the rank has taken so far; with any other number it refuses.
+    /// Number of orders that the rank has accepted so far; it refuses the order if the number differs.
     pub expected_sequence: u64,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderOutcome {
-    /// It was taken, or had been before.
+    /// The rank accepted the order, now or earlier.
     Taken,
-    /// It did not fit.
+    /// The rank refused the order, which did not fit its state.
     Refused,
-    /// Nobody knows; it may still be carried out.
+    /// The outcome is unknown; the order may still be carried out.
     Unknown,
 }
 
-/// What is armed at a rank.
+/// The map that is armed at a rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ArmedMap {
-    /// Number of the map.
+    /// Version of the map.
     pub version: u64,
-    /// The first step that uses it, if the rank tells.
+    /// The first step that uses it, if the rank reports it.
     pub step: Option<u64>,
 }
 
-/// A rank's fresh report. Fields that mostly hold nothing are left out where it is sent:
-/// leaders read about a thousand of them a second.
+/// The state that a rank reports. Fields that usually have their default value are omitted from
+/// the message: leaders read about a thousand such reports a second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct RankView {
     /// Name of the group.
     pub group: String,
-    /// The rank's place in the group.
+    /// The rank's index in the group.
     pub rank: usize,
-    /// How many ranks the group has.
+    /// Number of ranks in the group.
     pub size: usize,
-    /// Rises each time the group forms anew.
+    /// Number that rises each time the group forms anew.
     pub epoch: u64,
-    /// Whether all ranks are there.
+    /// Whether all ranks are present.
     pub is_open: bool,
-    /// The last step begun.
+    /// The last step that the rank has begun.
     pub step: u64,
-    /// Orders taken.
+    /// Number of orders that the rank has accepted.
     #[serde(default, skip_serializing_if = "is_default")]
     pub sequence: u64,
-    /// Whether an order is under way.
+    /// Whether the rank is carrying out an order.
     #[serde(default, skip_serializing_if = "is_default")]
     pub is_busy: bool,
-    /// The map in use.
+    /// Version of the map in use.
     #[serde(default, skip_serializing_if = "is_default")]
     pub map: u64,
-    /// The map whose experts have been copied.
+    /// Version of the map whose experts have been copied.
     #[serde(default, skip_serializing_if = "is_default")]
     pub prepared: Option<u64>,
     /// The map that is armed.
     #[serde(default, skip_serializing_if = "is_default")]
     pub armed: Option<ArmedMap>,
-    /// The step that is held.
+    /// The step that is held at this rank.
     #[serde(default, skip_serializing_if = "is_default")]
     pub held: Option<u64>,
-    /// How much longer its work takes than usual, in thousandths of the usual time.
+    /// Time that the rank's work takes, in thousandths of the usual time: 1,000 is the usual speed.
     pub pace_permille: u64,
-    /// Requests that run.
+    /// Number of running requests.
     #[serde(default, skip_serializing_if = "is_default")]
     pub running: u64,
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[serde(default, skip_serializing_if = "is_default")]
     pub waiting: u64,
 }
--- a/crates/ochreyard-core/src/group_map/placement.rs
+++ b/crates/ochreyard-core/src/group_map/placement.rs
@@ -1,9 +1,9 @@
-//! Which rank holds which experts, for all sets of a group.
+//! The experts that each rank holds, for all sets of a group.
 
 use serde::{Deserialize, Serialize};
 
-/// Experts by set and rank. The experts of a rank are sorted, so that a map has one
-/// form only.
+/// Experts by set and rank. The experts of a rank are sorted, so that each map has a single
+/// representation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupPlacement {
     experts: usize,
@@ -11,15 +11,15 @@
 }
 
 impl GroupPlacement {
-    /// The placement that a group starts with: experts dealt in turn.
+    /// The placement that a group starts with: experts distributed over the ranks in turn.
     #[must_use]
     pub fn round_robin(sets: usize, experts: usize, ranks: usize) -> Self {
-        let of_rank = |rank: usize| (rank..experts).step_by(ranks.max(1)).map(as_expert).collect();
+        let of_rank = |rank: usize| (rank..experts).step_by(ranks.max(1)).map(expert_number).collect();
         let set: Vec<Vec<u16>> = (0..ranks).map(of_rank).collect();
         Self { experts, sets: vec![set; sets] }
     }
 
-    /// A placement from what each rank tells: experts by rank and set.
+    /// Builds a placement from the reports of the ranks, which list experts by rank and set.
     #[must_use]
     pub fn from_ranks(experts: usize, ranks: &[Vec<Vec<u16>>]) -> Self {
         let sets = ranks.first().map_or(0, Vec::len);
@@ -27,40 +27,41 @@
         Self { experts, sets: sorted((0..sets).map(set).collect()) }
     }
 
-    /// Number of experts in a set.
+    /// The number of experts in a set.
     #[must_use]
     pub const fn experts(&self) -> usize {
         self.experts
     }
 
-    /// Experts by set and rank.
+    /// The experts by set and rank.
     #[must_use]
     pub fn sets(&self) -> &[Vec<Vec<u16>>] {
         &self.sets
     }
 
-    /// The same experts under other sets.
+    /// A placement of the same number of experts with other sets.
     pub(super) fn with_sets(&self, sets: Vec<Vec<Vec<u16>>>) -> Self {
         Self { experts: self.experts, sets: sorted(sets) }
     }
 
-    /// Whether each expert of each set is held by a rank.
+    /// Whether each expert of each set is held by at least one rank.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         let holds = |set: &Vec<Vec<u16>>, expert: usize| set.iter().flatten().any(|held| usize::from(*held) == expert);
         self.sets.iter().all(|set| (0..self.experts).all(|expert| holds(set, expert)))
     }
 
-    /// The load of the most loaded rank over the mean, summed over sets by their demand.
-    /// `demand` holds the load of each expert, set by set; a load counts by the pace
-    /// of its rank, where 1 is as fast as usual.
+    /// The load of the most loaded rank relative to the mean load, where sets are weighted by
+    /// their demand. `demand` holds the load of each expert, set by set. A rank's load is
+    /// multiplied by its slowdown, which is 1 at the usual speed.
     #[must_use]
-    pub fn skew(&self, demand: &[f64], paces: &[f64]) -> f64 {
+    pub fn skew(&self, demand: &[f64], slowdowns: &[f64]) -> f64 {
         let ranks = self.sets.first().map_or(1, Vec::len) as f64;
-        let of_set = |set: usize| &demand[set * self.experts..(set + 1) * self.experts];
-        let most: f64 = (0..self.sets.len()).map(|set| most_loaded(&self.sets[set], of_set(set), paces)).sum();
+        let set_demand = |set: usize| &demand[set * self.experts..(set + 1) * self.experts];
+        let max_load: f64 =
+            (0..self.sets.len()).map(|set| max_rank_load(&self.sets[set], set_demand(set), slowdowns)).sum();
         let total: f64 = demand.iter().sum();
-        if total > 0.0 { most * ranks / total } else { 1.0 }
+        if total > 0.0 { max_load * ranks / total } else { 1.0 }
     }
 }
 
@@ -69,24 +70,24 @@
     sets
 }
 
-fn as_expert(expert: usize) -> u16 {
+fn expert_number(expert: usize) -> u16 {
     u16::try_from(expert).unwrap_or(u16::MAX)
 }
 
-/// How many ranks hold each expert.
-pub(super) fn replicas(set: &[Vec<u16>], experts: usize) -> Vec<u32> {
+/// Counts the ranks that hold each expert.
+pub(super) fn replica_counts(set: &[Vec<u16>], experts: usize) -> Vec<u32> {
     let mut replicas = vec![0; experts];
     set.iter().flatten().for_each(|expert| replicas[usize::from(*expert)] += 1);
     replicas
 }
 
-/// The load of each rank by its pace: ranks that hold an expert share its load evenly.
-pub(super) fn rank_loads(set: &[Vec<u16>], demand: &[f64], paces: &[f64]) -> Vec<f64> {
-    let replicas = replicas(set, demand.len());
+/// The load of each rank, multiplied by its slowdown: ranks that hold an expert share its load evenly.
+pub(super) fn rank_loads(set: &[Vec<u16>], demand: &[f64], slowdowns: &[f64]) -> Vec<f64> {
+    let replicas = replica_counts(set, demand.len());
     let share = |expert: &u16| demand[usize::from(*expert)] / f64::from(replicas[usize::from(*expert)].max(1));
-    set.iter().zip(paces).map(|(held, pace)| pace * held.iter().map(share).sum::<f64>()).collect()
+    set.iter().zip(slowdowns).map(|(held, slowdown)| slowdown * held.iter().map(share).sum::<f64>()).collect()
 }
 
-fn most_loaded(set: &[Vec<u16>], demand: &[f64], paces: &[f64]) -> f64 {
-    rank_loads(set, demand, paces).into_iter().fold(0.0, f64::max)
+fn max_rank_load(set: &[Vec<u16>], demand: &[f64], slowdowns: &[f64]) -> f64 {
+    rank_loads(set, demand, slowdowns).into_iter().fold(0.0, f64::max)
 }
--- a/crates/ochreyard-core/src/group_map/planner/planned_map.rs
+++ b/crates/ochreyard-core/src/group_map/planner/planned_map.rs
@@ -1,16 +1,16 @@
-//! What a plan comes to.
+//! The result of a plan.
 
 use crate::group_map::GroupPlacement;
 
-/// A map worth a change.
+/// A map that is worth a change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedMap {
-    /// The map.
+    /// The new map.
     pub placement: GroupPlacement,
     /// Time saved over the horizon, in milliseconds.
     pub saving_ms: f64,
-    /// The most copies that one rank takes.
+    /// The largest number of experts that one rank copies.
     pub max_copies_per_rank: usize,
-    /// Skew of the present map and of the new one, under the demand.
+    /// Skew of the current map and of the new one, under the demand.
     pub skew: (f64, f64),
 }
--- a/crates/ochreyard-core/src/group_map/step_times.rs
+++ b/crates/ochreyard-core/src/group_map/step_times.rs
@@ -1,53 +1,53 @@
-//! Whether shorter steps of a group would help its callers.
+//! Whether shorter steps of a group would benefit its callers.
 
-/// Share of the pause aim from which the mean step counts as near it: single steps take up to
-/// half as long again, since a rank that reads a long prompt holds up all others.
-const NEAR_AIM_SHARE: f64 = 0.6;
-/// The same for the step that the present skew leads to, where a change lowers it by much: steps are about to grow, and the
-/// change takes its time.
-const COMING_NEAR_SHARE: f64 = 0.45;
-/// Improvement of the skew that counts as much. In a busy group it is worth a change however short steps are: requests that
-/// wait for a place get it sooner.
-const LARGE_GAIN: f64 = 1.25;
-/// Skew from which such a change is worth it in any group: few requests are enough to make single steps long, and they come
-/// faster than a map is changed.
+/// Share of the gap target from which the mean step counts as near the target: single steps take
+/// up to half as long again, since a rank that processes a long prompt delays all others.
+const NEAR_TARGET_SHARE: f64 = 0.6;
+/// The same share for the step time expected under the current skew, where a change improves the
+/// skew by a large factor: steps are about to grow, and the change itself takes time.
+const EXPECTED_NEAR_TARGET_SHARE: f64 = 0.45;
+/// Factor by which a change must improve the skew to count as a large improvement. In a busy group
+/// such a change is worthwhile however short steps are, since waiting requests get a slot sooner.
+const LARGE_IMPROVEMENT: f64 = 1.25;
+/// Skew from which a large improvement is worthwhile in any group: a few requests are enough to
+/// make single steps long, and they arrive faster than a map is changed.
 const HIGH_SKEW: f64 = 1.75;
-/// Share of a group's places from which it counts as busy.
-const BUSY_SHARE: f64 = 0.35;
+/// Share of a group's request slots in use from which the group counts as busy.
+const BUSY_UTILIZATION: f64 = 0.35;
 
-/// How long the steps of a group take, beside how long they may.
+/// How long the steps of a group take, compared with the target of its callers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepTimes {
-    /// The mean step of late, in milliseconds; 0 where it is not known.
+    /// The recent mean step time, in milliseconds; 0 if it is not known.
     pub step_ms: u64,
-    /// The mean skew during those steps, where it is known.
+    /// The mean skew during those steps, if it is known.
     pub mean_skew: Option<f64>,
-    /// The longest pause between events that callers take as in time, in milliseconds.
+    /// The longest gap between events of a stream that counts as on time, in milliseconds.
     pub target_gap_ms: Option<u64>,
-    /// Requests that run, as a share of the group's places.
+    /// Running requests as a share of the group's request slots.
     pub utilization: f64,
 }
 
 impl StepTimes {
-    /// Whether a change from the first skew to the second one may bring callers into their aim.
+    /// Whether a change of the skew from the first value to the second may bring streams within the gap target.
     ///
-    /// While steps are well under the aim, and stay there under the present skew, a change gains nobody anything: it copies
-    /// experts after what is in demand for a moment, and where its orders get lost it holds the group until every running
-    /// stream is late.
+    /// While steps are well below the target, and stay there under the current skew, a change benefits no caller:
+    /// it copies experts to follow a momentary demand, and where its orders get lost it holds the group until
+    /// every running stream is late.
     #[must_use]
     pub fn would_benefit(&self, (before, after): (f64, f64)) -> bool {
         let Some(target_gap_ms) = self.target_gap_ms else { return true };
         if self.step_ms == 0 {
             return true;
         }
-        let is_large = before >= after * LARGE_GAIN;
-        let near_aim_ms = target_gap_ms as f64 * NEAR_AIM_SHARE;
-        let coming_near_ms = target_gap_ms as f64 * COMING_NEAR_SHARE;
+        let is_large_improvement = before >= after * LARGE_IMPROVEMENT;
+        let near_target_ms = target_gap_ms as f64 * NEAR_TARGET_SHARE;
+        let expected_near_target_ms = target_gap_ms as f64 * EXPECTED_NEAR_TARGET_SHARE;
         let step_ms = self.step_ms as f64;
-        // Steps grow about as their most loaded rank does: a shift shows in the skew before it shows in the steps.
+        // Step times grow about as the load of the most loaded rank: a shift affects the skew before the step times.
         let expected_ms = self.mean_skew.map(|mean| step_ms * before / mean.max(1.0));
-        let is_coming_near = expected_ms.is_none_or(|expected_ms| expected_ms >= coming_near_ms);
-        let is_exposed = before >= HIGH_SKEW || self.utilization >= BUSY_SHARE;
-        step_ms >= near_aim_ms || (is_large && (is_coming_near || is_exposed))
+        let is_expected_near_target = expected_ms.is_none_or(|expected_ms| expected_ms >= expected_near_target_ms);
+        let is_at_risk = before >= HIGH_SKEW || self.utilization >= BUSY_UTILIZATION;
+        step_ms >= near_target_ms || (is_large_improvement && (is_expected_near_target || is_at_risk))
     }
 }
--- a/crates/ochreyard-core/src/lease.rs
+++ b/crates/ochreyard-core/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases that live in the platform's log: who may lead a change, under which token.
+//! Leases that are stored in the platform's log: they decide which holder may lead a change, with which token.
 //!
-//! A lease is one record. Its offset is the fencing token. A record counts only if
-//! it replaces the very record that was current, so of two contenders the first
-//! in the log wins at every reader alike.
+//! A lease is one record, and the record's offset is the fencing token. A record takes effect
+//! only if it replaces the record that is current at its position in the log, so of two
+//! contenders the first in the log wins for every reader.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 /// One record of the lease stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// What is leased.
+    /// Name of the lease.
     pub lease: String,
-    /// Who wants it.
+    /// The incarnation that requests the lease.
     pub holder: Incarnation,
-    /// The offset of the record that it replaces.
+    /// The offset of the record that this one replaces.
     pub replaces: Option<u64>,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
-/// A lease as a reader knows it.
+/// The current lease of a name, as a reader of the log knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CurrentLease {
-    /// Its fencing token: the offset of its record.
+    /// The fencing token: the offset of the lease's record.
     pub token: u64,
-    /// Who holds it.
+    /// The incarnation that holds the lease.
     pub holder: Incarnation,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
-    /// When this reader saw it, in milliseconds: never before it was written.
+    /// Time at which this reader saw the record, in milliseconds; never earlier than it was written.
     pub seen_ms: u64,
 }
 
@@ -43,11 +43,11 @@
 }
 
 impl LeaseTable {
-    /// Takes the record at `offset`, seen at `now_ms`. Says whether it counts.
+    /// Applies the record at `offset`, seen at `now_ms`. Returns whether it takes effect.
     pub fn apply(&mut self, offset: u64, record: &LeaseRecord, now_ms: u64) -> bool {
         let current = self.leases.get(&record.lease).map(|lease| lease.token);
-        // Where nothing is known, older records may have expired: ranks compare
-        // fences, so a contender that is wrongly taken for the holder does no harm.
+        // If no lease is known, older records may have expired from the log. Accepting a contender
+        // as the holder by mistake does no harm, since ranks compare fences.
         if current.is_some() && current != record.replaces {
             return false;
         }
@@ -62,8 +62,9 @@
         self.leases.get(lease)
     }
 
-    /// When `holder` may ask for the lease: at once if nobody else has it, else
-    /// once the other's has surely lapsed and its last order has arrived.
+    /// The earliest time at which `holder` may request the lease, in milliseconds: 0 if no other
+    /// incarnation holds it, else the time by which that lease has certainly expired and the last
+    /// order under it has arrived.
     #[must_use]
     pub fn earliest_request_ms(&self, lease: &str, holder: Incarnation, margin: LeaseMargin) -> u64 {
         match self.leases.get(lease) {
@@ -75,12 +76,12 @@
     }
 }
 
-/// Distances that a holder and its successor keep.
+/// Safety margins between the orders of a holder and those of its successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseMargin {
-    /// How long an order may be on its way, in milliseconds.
+    /// Longest time that an order may take to arrive, in milliseconds.
     pub max_order_delay_ms: u64,
-    /// By how much two clocks may run apart during one lease, in milliseconds.
+    /// Largest drift between two clocks during one lease, in milliseconds.
     pub max_clock_drift_ms: u64,
 }
 
@@ -90,20 +91,20 @@
     }
 }
 
-/// A lease in the hands of its holder.
+/// A lease as its holder knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
     /// The fencing token.
     pub token: u64,
-    /// When it was asked for, in milliseconds: before it was written.
+    /// Time at which the lease was requested, in milliseconds; earlier than it was written.
     pub requested_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
 impl HeldLease {
-    /// Whether an order that is sent now arrives while the lease lasts. To be
-    /// asked right before each send.
+    /// Whether an order that is sent now arrives before the lease expires. Must be called
+    /// immediately before each send.
     #[must_use]
     pub const fn may_send(&self, now_ms: u64, margin: LeaseMargin) -> bool {
         now_ms + margin.max_order_delay_ms + margin.max_clock_drift_ms < self.requested_ms + self.ttl_ms
--- a/crates/ochreyard-core/src/map_switch/leader.rs
+++ b/crates/ochreyard-core/src/map_switch/leader.rs
@@ -1,18 +1,18 @@
-//! The leader of one change.
+//! The leader's side of one change.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::order::{Fence, OrderEnvelope, RankOrder, RankReply, RankView};
 
-/// Times and distances of a change.
+/// Timeouts and distances of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwitchSettings {
-    /// How far ahead of the newest known step the group is gated. Far enough,
-    /// and the acknowledgements arrive before any rank is held.
+    /// Number of steps between the newest known step and the one at which the group is gated.
+    /// If it is large enough, the acknowledgements arrive before a rank has to wait.
     pub steps_ahead: u64,
-    /// After how long an order without reply is sent again, in milliseconds.
+    /// Time after which an order without a reply is sent again, in milliseconds.
     pub resend_ms: u64,
-    /// After how long a phase that does not end is undone, in milliseconds.
+    /// Time after which a phase that has not ended is undone, in milliseconds.
     pub phase_timeout_ms: u64,
 }
 
@@ -22,24 +22,24 @@
     }
 }
 
-/// Where a change stands.
+/// The phase of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SwitchPhase {
-    /// Every rank is asked what it holds, which fences an earlier leader off.
+    /// Every rank reports its state, which fences off an earlier leader.
     Inspect,
-    /// Every rank gets the new map beside the old one.
+    /// Every rank loads the new map in addition to the old one.
     Stage,
     /// Every rank is gated at this step.
     Gate(u64),
     /// Every rank schedules the new map from this step on.
     Activate(u64),
-    /// Every rank is released.
+    /// Every rank is released, after the switch to the new map.
     Release,
     /// Every rank schedules the old map again from this step on.
     Restore(u64),
-    /// Every rank is released with the old map.
+    /// Every rank is released, without a switch by this leader.
     ReleaseWithoutSwitch,
-    /// It is over.
+    /// The change has ended.
     Finished(SwitchOutcome),
 }
 
@@ -64,21 +64,21 @@
     old_map: u64,
     phase: SwitchPhase,
     phase_since_ms: u64,
-    sent_ms: u64,
-    number: u64,
-    open: BTreeMap<Fence, u32>,
-    acked: BTreeSet<u32>,
+    last_sent_ms: u64,
+    last_order_number: u64,
+    pending: BTreeMap<Fence, u32>,
+    acked_ranks: BTreeSet<u32>,
     views: BTreeMap<u32, RankView>,
 }
 
 impl MapSwitch {
-    /// A change to `new_map` on `ranks` ranks by the holder of `token`.
+    /// Creates a change to `new_map` on `ranks` ranks by the holder of `token`.
     #[must_use]
     pub fn new(settings: SwitchSettings, token: u64, ranks: u32, new_map: u64, now_ms: u64) -> Self {
         Self { new_map: Some(new_map), ..Self::clean_up(settings, token, ranks, now_ms) }
     }
 
-    /// Finishes or undoes what an earlier leader may have left, and no more.
+    /// Creates a run that only completes or undoes a change that an earlier leader may have left unfinished.
     #[must_use]
     pub const fn clean_up(settings: SwitchSettings, token: u64, ranks: u32, now_ms: u64) -> Self {
         Self {
@@ -89,21 +89,21 @@
             old_map: 0,
             phase: SwitchPhase::Inspect,
             phase_since_ms: now_ms,
-            sent_ms: 0,
-            number: 0,
-            open: BTreeMap::new(),
-            acked: BTreeSet::new(),
+            last_sent_ms: 0,
+            last_order_number: 0,
+            pending: BTreeMap::new(),
+            acked_ranks: BTreeSet::new(),
             views: BTreeMap::new(),
         }
     }
 
-    /// Where it stands.
+    /// The current phase.
     #[must_use]
     pub const fn phase(&self) -> SwitchPhase {
         self.phase
     }
 
-    /// How it ended, once it has.
+    /// The outcome of the change, once it has ended.
     #[must_use]
     pub const fn outcome(&self) -> Option<SwitchOutcome> {
         match self.phase {
@@ -112,12 +112,12 @@
         }
     }
 
-    /// Sends the orders of the first phase.
+    /// Returns the orders of the first phase.
     pub fn start(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
-        self.send_to_unacked(now_ms)
+        self.orders_to_unacked(now_ms)
     }
 
-    /// Time passes: orders without reply go out again; a phase that does not end is undone.
+    /// Checks the timeouts: returns orders without a reply for resending, and undoes a phase that has not ended in time.
     pub fn tick(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
         if self.outcome().is_some() {
             return Vec::new();
@@ -125,13 +125,13 @@
         if now_ms.saturating_sub(self.phase_since_ms) >= self.settings.phase_timeout_ms {
             return self.on_timeout(now_ms);
         }
-        if now_ms.saturating_sub(self.sent_ms) >= self.settings.resend_ms {
-            return self.send_to_unacked(now_ms);
+        if now_ms.saturating_sub(self.last_sent_ms) >= self.settings.resend_ms {
+            return self.orders_to_unacked(now_ms);
         }
         Vec::new()
     }
 
-    /// Takes a rank's reply. A reply to an order of an earlier phase is dropped.
+    /// Processes a rank's reply. A reply to an order of an earlier phase is ignored.
     pub fn on_reply(&mut self, reply: RankReply, now_ms: u64) -> Vec<OrderEnvelope> {
         if self.outcome().is_some() {
             return Vec::new();
@@ -140,17 +140,17 @@
             self.phase = SwitchPhase::Finished(SwitchOutcome::Fenced);
             return Vec::new();
         }
-        let is_open = self.open.get(&reply.order) == Some(&reply.rank);
-        let overtaken = reply.highest > reply.order;
-        if !is_open || overtaken {
+        let is_pending = self.pending.get(&reply.order) == Some(&reply.rank);
+        let is_superseded = reply.highest > reply.order;
+        if !is_pending || is_superseded {
             return Vec::new();
         }
         self.views.insert(reply.rank, reply.view);
         if !reply.done {
             return self.on_refusal(now_ms);
         }
-        self.acked.insert(reply.rank);
-        if self.acked.len() < self.ranks as usize {
+        self.acked_ranks.insert(reply.rank);
+        if self.acked_ranks.len() < self.ranks as usize {
             return Vec::new();
         }
         let next = self.next_phase();
@@ -170,44 +170,44 @@
         }
     }
 
-    /// Cleans up after an earlier leader, or goes on if there is nothing to clean.
+    /// Determines the phase after the inspection: cleaning up after an earlier leader if necessary, else staging.
     fn after_inspection(&mut self) -> SwitchPhase {
         let Some(gate) = self.views.values().filter_map(|view| view.gate).max() else {
             self.old_map = self.views.values().next().map_or(0, |view| view.map_at(u64::MAX));
             return self.new_map.map_or(SwitchPhase::Finished(SwitchOutcome::Undone), |_| SwitchPhase::Stage);
         };
-        let scheduled = |view: &RankView| view.step >= gate || view.schedule.contains_key(&gate);
-        let with_new_map = self.views.values().filter(|view| scheduled(view)).count();
+        let has_new_map = |view: &RankView| view.step >= gate || view.schedule.contains_key(&gate);
+        let with_new_map = self.views.values().filter(|view| has_new_map(view)).count();
         let some_entered = self.views.values().any(|view| view.step >= gate);
         if with_new_map == self.ranks as usize || with_new_map == 0 || some_entered {
-            // All agree on every step, so the gates can go.
+            // All ranks agree on the map of every step, so the gates can be removed.
             return SwitchPhase::ReleaseWithoutSwitch;
         }
         self.old_map = self.views.values().next().map_or(0, |view| view.map_at(gate - 1));
         SwitchPhase::Restore(gate)
     }
 
-    /// Only a gate that came too late, or a step that was entered, is refused.
+    /// Handles a refusal: a rank refuses only a gate that comes too late or a map for a step that it has entered.
     fn on_refusal(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
         match self.phase {
             SwitchPhase::Gate(_) => {
-                let later = SwitchPhase::Gate(self.next_gate());
-                let since_ms = self.phase_since_ms;
-                let orders = self.enter(later, now_ms);
-                // A later step does not prolong the phase, so that it ends.
-                self.phase_since_ms = since_ms;
+                let later_gate = SwitchPhase::Gate(self.next_gate());
+                let phase_start_ms = self.phase_since_ms;
+                let orders = self.enter(later_gate, now_ms);
+                // A later gate does not restart the timeout, so that the phase ends.
+                self.phase_since_ms = phase_start_ms;
                 orders
             }
             _ => self.on_timeout(now_ms),
         }
     }
 
-    /// Far enough ahead, and behind every step for which a map is scheduled: that
-    /// map must come into force first, so that there is one to go back to.
+    /// The step of the next gate: far enough ahead, and after every step for which a map is
+    /// scheduled. That map must take effect first, so that there is a map to restore.
     fn next_gate(&self) -> u64 {
-        let newest = self.views.values().map(|view| view.step).max().unwrap_or(0);
-        let scheduled = self.views.values().filter_map(|view| view.schedule.keys().next_back()).max();
-        (newest + self.settings.steps_ahead).max(scheduled.map_or(0, |step| step + 1))
+        let newest_step = self.views.values().map(|view| view.step).max().unwrap_or(0);
+        let last_scheduled = self.views.values().filter_map(|view| view.schedule.keys().next_back()).max();
+        (newest_step + self.settings.steps_ahead).max(last_scheduled.map_or(0, |step| step + 1))
     }
 
     fn on_timeout(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
@@ -215,7 +215,7 @@
             SwitchPhase::Stage => SwitchPhase::Finished(SwitchOutcome::Undone),
             SwitchPhase::Gate(_) => SwitchPhase::ReleaseWithoutSwitch,
             SwitchPhase::Activate(step) => SwitchPhase::Restore(step),
-            // These must reach every rank, however long it takes.
+            // The orders of these phases must reach every rank, however long it takes.
             same => same,
         };
         self.enter(next, now_ms)
@@ -224,9 +224,9 @@
     fn enter(&mut self, phase: SwitchPhase, now_ms: u64) -> Vec<OrderEnvelope> {
         self.phase = phase;
         self.phase_since_ms = now_ms;
-        self.open.clear();
-        self.acked.clear();
-        self.send_to_unacked(now_ms)
+        self.pending.clear();
+        self.acked_ranks.clear();
+        self.orders_to_unacked(now_ms)
     }
 
     fn order(&self) -> Option<RankOrder> {
@@ -241,16 +241,16 @@
         }
     }
 
-    fn send_to_unacked(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
-        self.sent_ms = now_ms;
+    fn orders_to_unacked(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
+        self.last_sent_ms = now_ms;
         let Some(order) = self.order() else { return Vec::new() };
-        let unacked: Vec<u32> = (0..self.ranks).filter(|rank| !self.acked.contains(rank)).collect();
+        let unacked: Vec<u32> = (0..self.ranks).filter(|rank| !self.acked_ranks.contains(rank)).collect();
         unacked
             .into_iter()
             .map(|rank| {
-                self.number += 1;
-                let fence = Fence::new(self.token, self.number);
-                self.open.insert(fence, rank);
+                self.last_order_number += 1;
+                let fence = Fence::new(self.token, self.last_order_number);
+                self.pending.insert(fence, rank);
                 OrderEnvelope { fence, rank, order }
             })
             .collect()
--- a/crates/ochreyard-core/src/map_switch/rank.rs
+++ b/crates/ochreyard-core/src/map_switch/rank.rs
@@ -1,4 +1,4 @@
-//! What a rank guarantees: the model that engines must keep to.
+//! The behaviour that a rank guarantees: the model that engines must implement.
 
 use super::order::{Fence, OrderEnvelope, RankOrder, RankReply, RankView};
 
@@ -11,29 +11,29 @@
 }
 
 impl Rank {
-    /// A rank that uses `map` from the start.
+    /// Creates a rank that uses `map` from the start.
     #[must_use]
     pub fn new(map: u64) -> Self {
         let view = RankView { schedule: [(0, map)].into(), ..RankView::default() };
         Self { highest: Fence::default(), staged: None, view }
     }
 
-    /// What the rank holds.
+    /// The state of the rank.
     #[must_use]
     pub const fn view(&self) -> &RankView {
         &self.view
     }
 
-    /// The highest fence seen.
+    /// The highest fence that the rank has seen.
     #[must_use]
     pub const fn highest(&self) -> Fence {
         self.highest
     }
 
-    /// Takes an order. One with a lower fence than the highest seen is refused.
+    /// Carries out an order and returns the reply. An order with a lower fence than the highest seen is refused.
     pub fn on_order(&mut self, envelope: &OrderEnvelope) -> RankReply {
-        let overtaken = envelope.fence < self.highest;
-        let done = !overtaken && self.carry_out(envelope.order);
+        let is_superseded = envelope.fence < self.highest;
+        let done = !is_superseded && self.carry_out(envelope.order);
         self.highest = self.highest.max(envelope.fence);
         RankReply { rank: envelope.rank, order: envelope.fence, done, highest: self.highest, view: self.view.clone() }
     }
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Refuses a map that it does not hold, and a step that it has entered.
+    /// Schedules a map. Refuses a map that the rank does not hold, and a step that it has entered.
     fn activate(&mut self, map: u64, from_step: u64) -> bool {
-        let held = self.staged == Some(map) || self.view.schedule.values().any(|held| *held == map);
-        if !held || from_step <= self.view.step {
+        let is_held = self.staged == Some(map) || self.view.schedule.values().any(|scheduled| *scheduled == map);
+        if !is_held || from_step <= self.view.step {
             return false;
         }
         self.view.schedule.split_off(&from_step);
@@ -71,13 +71,13 @@
         true
     }
 
-    /// Whether the rank may enter a step, as far as it is concerned.
+    /// Whether this rank's gate lets it enter `step`.
     #[must_use]
     pub fn may_enter(&self, step: u64) -> bool {
         self.view.gate.is_none_or(|gate| step < gate)
     }
 
-    /// Enters the next step and returns the map that it uses there.
+    /// Enters `step` and returns the number of the map that the rank uses in it.
     pub fn enter(&mut self, step: u64) -> u64 {
         self.view.step = step;
         let map = self.view.map_at(step);
--- a/crates/ochreyard-core/src/rebalance.rs
+++ b/crates/ochreyard-core/src/rebalance.rs
@@ -1,9 +1,9 @@
-//! When and how to change a group's expert map.
+//! Decides when and how to change a group's expert map.
 //!
-//! The load of each expert is predicted; the present map is changed by the
-//! replica moves whose predicted saving over a horizon beats their cost, one at a
-//! time, best first. Two settings of one formula serve users who weigh skew and
-//! users who weigh moves.
+//! The load of each expert is predicted. The current map is changed by the replica moves
+//! whose predicted saving over a horizon exceeds their cost, one at a time, the best first.
+//! Two sets of weights for the same formula serve users to whom skew is more expensive and
+//! users to whom moves are more expensive.
 
 mod budgeted_rebalancer;
 mod diagnosis;
--- a/crates/ochreyard-core/src/rebalance/budgeted_rebalancer.rs
+++ b/crates/ochreyard-core/src/rebalance/budgeted_rebalancer.rs
@@ -1,49 +1,48 @@
-//! The policy: the fewest moves that pay.
+//! The rebalancing policy: makes only the moves whose predicted saving exceeds their cost.
 
 use super::placement::{Placement, skew};
 use super::predictor::Predictor;
 use super::search::Search;
 
-/// What a user weighs.
+/// The weights and limits of the rebalancing policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RebalanceSettings {
-    /// Over how many intervals a saving counts.
+    /// Number of intervals over which a saving counts.
     pub horizon_intervals: f64,
-    /// What one copied replica costs, in units of skew for one interval.
+    /// Cost of one copied replica, in units of skew during one interval.
     pub copy_cost: f64,
-    /// Predicted skew below which nothing is moved.
+    /// Predicted skew up to which nothing is moved.
     pub min_skew: f64,
-    /// Copies in one interval at the most: what the weight store and the
-    /// headroom of steps allow.
+    /// Most copies in one interval: the rate that the weight store and the headroom of steps allow.
     pub max_copies_per_interval: usize,
 }
 
 impl RebalanceSettings {
-    /// For users to whom a slow step costs more than a move: the ski platform.
+    /// For users to whom a slow step costs more than a move.
     #[must_use]
     pub const fn weigh_skew() -> Self {
         Self { horizon_intervals: 30.0, copy_cost: 0.004, min_skew: 1.02, max_copies_per_interval: 8 }
     }
 
-    /// For users to whom moves cost more than a slow step: Kalahari Formworks.
+    /// For users to whom moves cost more than a slow step.
     #[must_use]
     pub const fn weigh_moves() -> Self {
         Self { horizon_intervals: 60.0, copy_cost: 0.5, min_skew: 1.08, max_copies_per_interval: 4 }
     }
 }
 
-/// A new placement whose replicas are being copied beside the present ones.
+/// A new placement whose replicas are being copied in addition to the current ones.
 #[derive(Debug, Clone, PartialEq)]
 struct Staging {
     target: Placement,
     copies_left: usize,
 }
 
-/// Changes the map by the moves that pay.
+/// Changes the map by the moves whose predicted saving exceeds their cost.
 ///
-/// Single moves are tried first. Where they have come to a dead end and a whole
-/// new placement pays for all its moves, that one is copied over several
-/// intervals, at the rate that the store allows, and then switched to at once.
+/// Single moves are tried first. If none is worth its cost, but a completely new placement is
+/// worth all its moves, that placement is copied over several intervals at the rate that the
+/// weight store allows, and then activated at once.
 #[derive(Debug, Clone)]
 pub struct BudgetedRebalancer {
     settings: RebalanceSettings,
@@ -52,26 +51,26 @@
 }
 
 impl BudgetedRebalancer {
-    /// A policy for this many experts.
+    /// Creates a policy for this number of experts.
     #[must_use]
     pub fn new(settings: RebalanceSettings, experts: usize) -> Self {
         Self { settings, predictor: Predictor::new(experts), staging: None }
     }
 
-    /// Takes the counts of one interval.
+    /// Adds the selection counts of one interval.
     pub fn observe(&mut self, counts: &[f64]) {
         self.predictor.observe(counts);
     }
 
-    /// The map for the next interval, and how many replicas are copied in this one.
+    /// Returns the map for the next interval, and the number of replicas that are copied in this one.
     #[must_use]
-    pub fn decide(&mut self, present: &Placement) -> (Placement, usize) {
+    pub fn decide(&mut self, current: &Placement) -> (Placement, usize) {
         if let Some(staging) = self.staging.take() {
-            return self.go_on_staging(staging, present);
+            return self.continue_staging(staging, current);
         }
-        let (next, copies) = self.single_moves(present);
+        let (next, copies) = self.single_moves(current);
         if copies == 0 {
-            self.staging = self.whole_placement(present);
+            self.staging = self.new_placement(current);
         }
         (next, copies)
     }
@@ -80,17 +79,17 @@
         skew(&placement.rank_loads(self.predictor.shares()))
     }
 
-    fn pays(&self, gain: f64, intervals: f64, copies: usize) -> bool {
+    fn is_worthwhile(&self, gain: f64, intervals: f64, copies: usize) -> bool {
         gain * intervals > self.settings.copy_cost * copies as f64
     }
 
-    fn single_moves(&self, present: &Placement) -> (Placement, usize) {
-        let mut search = Search::new(present, self.predictor.shares());
+    fn single_moves(&self, current: &Placement) -> (Placement, usize) {
+        let mut search = Search::new(current, self.predictor.shares());
         let mut copies = 0;
         while copies < self.settings.max_copies_per_interval && search.skew() > self.settings.min_skew {
             let Some((step, gain)) = search.best_step() else { break };
-            let pays = self.pays(gain, self.settings.horizon_intervals, step.copies());
-            if !pays || copies + step.copies() > self.settings.max_copies_per_interval {
+            let is_worthwhile = self.is_worthwhile(gain, self.settings.horizon_intervals, step.copies());
+            if !is_worthwhile || copies + step.copies() > self.settings.max_copies_per_interval {
                 break;
             }
             search.apply(step);
@@ -99,33 +98,33 @@
         (search.into_placement(), copies)
     }
 
-    /// A whole new placement, if it pays for all its moves in what is left of
-    /// the horizon once they have been copied.
-    fn whole_placement(&self, present: &Placement) -> Option<Staging> {
-        let before = self.predicted_skew(present);
+    /// Returns a completely new placement, if the rest of the horizon after the copies is long
+    /// enough for its saving to exceed the cost of all its moves.
+    fn new_placement(&self, current: &Placement) -> Option<Staging> {
+        let before = self.predicted_skew(current);
         if before <= self.settings.min_skew {
             return None;
         }
-        let slots = present.ranks().first().map_or(0, Vec::len);
+        let slots = current.ranks().first().map_or(0, Vec::len);
         let target =
-            Placement::greedy(self.predictor.shares(), present.ranks().len(), slots).relabeled_to_match(present);
-        let copies = present.copies_to_reach(&target);
+            Placement::greedy(self.predictor.shares(), current.ranks().len(), slots).relabeled_to_match(current);
+        let copies = current.copies_to_reach(&target);
         let gain = before - self.predicted_skew(&target);
         let staging_intervals = copies as f64 / self.settings.max_copies_per_interval as f64;
-        let left = self.settings.horizon_intervals - staging_intervals;
-        self.pays(gain, left, copies).then_some(Staging { target, copies_left: copies })
+        let remaining_intervals = self.settings.horizon_intervals - staging_intervals;
+        self.is_worthwhile(gain, remaining_intervals, copies).then_some(Staging { target, copies_left: copies })
     }
 
-    /// Copies some more replicas; with the last one the new placement comes into
-    /// force, unless the loads have turned against it in the meantime.
-    fn go_on_staging(&mut self, staging: Staging, present: &Placement) -> (Placement, usize) {
+    /// Copies further replicas. After the last one the new placement takes effect, unless the
+    /// predicted loads no longer favour it.
+    fn continue_staging(&mut self, staging: Staging, current: &Placement) -> (Placement, usize) {
         let copies = staging.copies_left.min(self.settings.max_copies_per_interval);
         let copies_left = staging.copies_left - copies;
         if copies_left > 0 {
             self.staging = Some(Staging { copies_left, ..staging });
-            return (present.clone(), copies);
+            return (current.clone(), copies);
         }
-        let still_better = self.predicted_skew(&staging.target) < self.predicted_skew(present);
-        (if still_better { staging.target } else { present.clone() }, copies)
+        let is_still_better = self.predicted_skew(&staging.target) < self.predicted_skew(current);
+        (if is_still_better { staging.target } else { current.clone() }, copies)
     }
 }
--- a/crates/ochreyard-core/src/rebalance/placement.rs
+++ b/crates/ochreyard-core/src/rebalance/placement.rs
@@ -1,4 +1,4 @@
-//! Which rank holds a replica of which expert.
+//! The replicas of experts that each rank holds.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,8 +11,8 @@
 }
 
 impl Placement {
-    /// Experts in order over the ranks, each with one replica; the slots that are
-    /// left over hold second replicas of the first experts.
+    /// Distributes the experts in order over the ranks, each with one replica; the remaining
+    /// slots hold further replicas of the first experts.
     ///
     /// # Panics
     ///
@@ -36,8 +36,8 @@
         placement
     }
 
-    /// The greedy placement for these loads: more replicas for hotter experts,
-    /// then the heaviest replica first to the lightest rank.
+    /// Creates the greedy placement for these loads: hotter experts get more replicas, and then
+    /// replicas are assigned to the least loaded rank, the heaviest replica first.
     ///
     /// # Panics
     ///
@@ -57,28 +57,28 @@
         let mut order: Vec<usize> = (0..experts).collect();
         order.sort_by(|a, b| share(*b).total_cmp(&share(*a)).then(a.cmp(b)));
         let mut placement = Self { experts, ranks: vec![Vec::new(); ranks], replicas: vec![0; experts] };
-        let mut load = vec![0.0_f64; ranks];
+        let mut assigned_load = vec![0.0_f64; ranks];
         for expert in order {
             for _ in 0..wanted[expert] {
                 let fits = |rank: &usize| {
                     let held = &placement.ranks[*rank];
                     held.len() < slots_per_rank && !held.contains(&expert)
                 };
-                let lightest = (0..ranks).filter(fits).min_by(|a, b| load[*a].total_cmp(&load[*b]));
+                let lightest = (0..ranks).filter(fits).min_by(|a, b| assigned_load[*a].total_cmp(&assigned_load[*b]));
                 let Some(rank) = lightest else { continue };
                 placement.ranks[rank].push(expert);
                 placement.replicas[expert] += 1;
-                load[rank] += share(expert);
+                assigned_load[rank] += share(expert);
             }
         }
-        placement.place_leftovers(slots_per_rank);
+        placement.place_unplaced_experts(slots_per_rank);
         placement
     }
 
-    /// An expert that found no free rank takes the place of a second replica.
-    fn place_leftovers(&mut self, slots_per_rank: usize) {
-        let homeless: Vec<usize> = (0..self.experts).filter(|expert| self.replicas[*expert] == 0).collect();
-        for expert in homeless {
+    /// Places each expert without a replica into a free slot, or else in place of another expert's spare replica.
+    fn place_unplaced_experts(&mut self, slots_per_rank: usize) {
+        let unplaced: Vec<usize> = (0..self.experts).filter(|expert| self.replicas[*expert] == 0).collect();
+        for expert in unplaced {
             if let Some(rank) = (0..self.ranks.len()).find(|rank| self.ranks[*rank].len() < slots_per_rank) {
                 self.ranks[rank].push(expert);
                 self.replicas[expert] += 1;
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Number of experts.
+    /// The number of experts.
     #[must_use]
     pub const fn experts(&self) -> usize {
         self.experts
@@ -105,13 +105,13 @@
         &self.ranks
     }
 
-    /// How many replicas an expert has.
+    /// The number of replicas of an expert.
     #[must_use]
     pub fn replicas(&self, expert: usize) -> u32 {
         self.replicas[expert]
     }
 
-    /// Puts `expert` into a slot in place of what it holds.
+    /// Replaces the expert in a slot by `expert`.
     pub fn replace(&mut self, rank: usize, slot: usize, expert: usize) {
         let old = std::mem::replace(&mut self.ranks[rank][slot], expert);
         self.replicas[old] -= 1;
@@ -125,21 +125,21 @@
         self.ranks.iter().map(|held| held.iter().map(share).sum()).collect()
     }
 
-    /// The same placement with the ranks renamed so that few replicas must be
-    /// copied from `present`: each rank takes the held set that it shares most with.
+    /// The same placement with its ranks permuted so that few replicas must be copied from
+    /// `current`: each rank in turn takes the remaining expert set that overlaps most with its own.
     #[must_use]
-    pub fn relabeled_to_match(&self, present: &Self) -> Self {
-        let mut left: Vec<&Vec<usize>> = self.ranks.iter().collect();
-        let shared = |held: &[usize], other: &[usize]| other.iter().filter(|expert| held.contains(expert)).count();
-        let pick = |held: &Vec<usize>| {
-            let best = (0..left.len()).max_by_key(|at| shared(held, left[*at])).unwrap_or(0);
-            left.swap_remove(best).clone()
+    pub fn relabeled_to_match(&self, current: &Self) -> Self {
+        let mut remaining: Vec<&Vec<usize>> = self.ranks.iter().collect();
+        let overlap = |held: &[usize], other: &[usize]| other.iter().filter(|expert| held.contains(expert)).count();
+        let take_best_match = |held: &Vec<usize>| {
+            let best = (0..remaining.len()).max_by_key(|at| overlap(held, remaining[*at])).unwrap_or(0);
+            remaining.swap_remove(best).clone()
         };
-        let ranks = present.ranks.iter().map(pick).collect();
+        let ranks = current.ranks.iter().map(take_best_match).collect();
         Self { experts: self.experts, ranks, replicas: self.replicas.clone() }
     }
 
-    /// How many replicas must be copied to get from `self` to `next`.
+    /// The number of replicas that must be copied to get from `self` to `next`.
     #[must_use]
     pub fn copies_to_reach(&self, next: &Self) -> usize {
         let missing =
@@ -148,7 +148,7 @@
     }
 }
 
-/// The largest rank load over the mean one: 1.0 is even.
+/// The largest rank load relative to the mean rank load: 1.0 is even.
 #[must_use]
 pub fn skew(rank_loads: &[f64]) -> f64 {
     let sum: f64 = rank_loads.iter().sum();
