--- a/crates/ochreyard-core/examples/plan_cost.rs
+++ b/crates/ochreyard-core/examples/plan_cost.rs
@@ -1,4 +1,4 @@
-//! Time of one search for a map, by the size of the group, on drawn demand.
+//! Measures the time of one search for a map on random demand, by the size of the group.
 //!
 //! `cargo run --release -p ochreyard-core --example plan_cost [COPY_MS]`
 
@@ -9,13 +9,13 @@
 
 /// Searches that are timed for each size.
 const SEARCHES: u64 = 20;
-/// How unequal the demand is: an expert is chosen in proportion to its drawn place to this power.
-const SKEW: f64 = -0.53;
+/// Exponent of the demand: an expert's demand is its random position, counted from 1, to this power.
+const DEMAND_EXPONENT: f64 = -0.53;
 
-/// A group: ranks, sets, experts of a set, places of a rank in a set.
+/// Groups as the numbers of ranks, sets, experts per set, and slots per rank and set.
 const GROUPS: [(usize, usize, usize, usize); 3] = [(8, 6, 64, 11), (24, 16, 96, 5), (96, 16, 192, 3)];
 
-/// Time to copy one expert unless one is given, in milliseconds.
+/// Default time to copy one expert, in milliseconds.
 const COPY_MS: f64 = 18.0;
 
 fn settings(slots: usize, copy_ms: f64) -> PlanSettings {
@@ -35,14 +35,14 @@
 fn demand(seed: u64, sets: usize, experts: usize) -> Vec<f64> {
     let mut rates = Vec::with_capacity(sets * experts);
     for set in 0..sets {
-        let mut drawn: Vec<(u64, usize)> =
+        let mut shuffled: Vec<(u64, usize)> =
             (0..experts).map(|expert| (hash::mix(seed ^ (set * experts + expert) as u64), expert)).collect();
-        drawn.sort_unstable();
-        let mut of_set = vec![0.0; experts];
-        for (place, (_, expert)) in drawn.into_iter().enumerate() {
-            of_set[expert] = ((place + 1) as f64).powf(SKEW);
+        shuffled.sort_unstable();
+        let mut set_rates = vec![0.0; experts];
+        for (position, (_, expert)) in shuffled.into_iter().enumerate() {
+            set_rates[expert] = ((position + 1) as f64).powf(DEMAND_EXPONENT);
         }
-        rates.extend(of_set);
+        rates.extend(set_rates);
     }
     rates
 }
@@ -51,12 +51,12 @@
     let copy_ms = std::env::args().nth(1).and_then(|given| given.parse().ok()).unwrap_or(COPY_MS);
     for (ranks, sets, experts, slots) in GROUPS {
         let planner = Planner::new(settings(slots, copy_ms));
-        let present = GroupPlacement::round_robin(sets, experts, ranks);
-        let paces = vec![1.0; ranks];
+        let current = GroupPlacement::round_robin(sets, experts, ranks);
+        let slowdowns = vec![1.0; ranks];
         let mut after = 0.0;
         let started = Instant::now();
         for seed in 0..SEARCHES {
-            let planned = planner.plan(&present, &demand(seed, sets, experts), &paces);
+            let planned = planner.plan(&current, &demand(seed, sets, experts), &slowdowns);
             after += planned.map_or(0.0, |planned| planned.skew.1);
         }
         let each_ms = started.elapsed().as_secs_f64() * 1_000.0 / SEARCHES as f64;
--- a/crates/ochreyard-core/examples/rebalance.rs
+++ b/crates/ochreyard-core/examples/rebalance.rs
@@ -2,8 +2,8 @@
 //!
 //! `cargo run --release -p ochreyard-core --example rebalance`
 //!
-//! Each line is one policy, user and shape of group. Seeds 1 to 3 were used for
-//! tuning; 101 and 102 were not. A decision for an interval sees only earlier
+//! Each line is the result of one policy, user and shape of group. Seeds 1 to 3 are for
+//! tuning; 101 and 102 are for validation. A decision for an interval sees only earlier
 //! intervals. `stalls_per_hour` counts intervals in which a policy copies more
 //! replicas than the weight store delivers in one.
 
@@ -16,7 +16,7 @@
 const TOKENS: f64 = 200_000.0;
 const STORE_COPIES: usize = 8;
 
-/// Seeded numbers.
+/// A seeded random number generator.
 struct Random(u64);
 
 impl Random {
@@ -31,24 +31,25 @@
     }
 }
 
-/// Counts of each expert in each interval.
+/// The selection count of each expert in each interval.
 fn trace(seed: u64, experts: usize) -> Vec<Vec<f64>> {
     let mut random = Random(hash::mix(seed));
     let mut drift: Vec<f64> = (0..experts).map(|_| 0.5 * random.normal()).collect();
-    let storm: Vec<bool> = (0..experts).map(|_| random.uniform() < 0.1).collect();
-    let survey: Vec<bool> = (0..experts).map(|_| random.uniform() < 0.1).collect();
-    let storm_at = 300 + (random.uniform() * 200.0) as usize;
-    let survey_at = 800 + (random.uniform() * 100.0) as usize;
+    let is_in_storm: Vec<bool> = (0..experts).map(|_| random.uniform() < 0.1).collect();
+    let is_in_survey: Vec<bool> = (0..experts).map(|_| random.uniform() < 0.1).collect();
+    let storm_start = 300 + (random.uniform() * 200.0) as usize;
+    let survey_start = 800 + (random.uniform() * 100.0) as usize;
     let mut intervals = Vec::with_capacity(INTERVALS);
     for minute in 0..INTERVALS {
-        let stormy = if (storm_at..storm_at + 120).contains(&minute) { 4.0 } else { 1.0 };
-        let ramp = (minute as f64 - survey_at as f64) / 180.0;
-        let surveyed = if (0.0..1.0).contains(&ramp) { 1.0 + 3.0 * ramp } else { 1.0 };
+        let storm_factor = if (storm_start..storm_start + 120).contains(&minute) { 4.0 } else { 1.0 };
+        let ramp = (minute as f64 - survey_start as f64) / 180.0;
+        let survey_factor = if (0.0..1.0).contains(&ramp) { 1.0 + 3.0 * ramp } else { 1.0 };
         let mut weights: Vec<f64> = Vec::with_capacity(experts);
         for expert in 0..experts {
-            // A slow walk that is drawn back to its middle.
+            // A slow mean-reverting random walk.
             drift[expert] = drift[expert] * 0.9995 + 0.016 * random.normal();
-            let hot = if storm[expert] { stormy } else { 1.0 } * if survey[expert] { surveyed } else { 1.0 };
+            let hot = if is_in_storm[expert] { storm_factor } else { 1.0 }
+                * if is_in_survey[expert] { survey_factor } else { 1.0 };
             weights.push(drift[expert].exp() * hot);
         }
         let sum: f64 = weights.iter().sum();
@@ -109,7 +110,7 @@
     score
 }
 
-/// `tune` as argument leaves out the seeds that were not used for tuning.
+/// The seeds to run: all, or only those for tuning if `tune` is given as an argument.
 fn seeds() -> &'static [u64] {
     let tuning = std::env::args().any(|arg| arg == "tune");
     if tuning { &[1, 2, 3] } else { &[1, 2, 3, 101, 102] }
--- a/crates/ochreyard-core/src/map_switch/leader.rs
+++ b/crates/ochreyard-core/src/map_switch/leader.rs
@@ -117,7 +117,7 @@
         self.orders_to_unacked(now_ms)
     }
 
-    /// Checks the timeouts: returns orders without a reply for resending, and undoes a phase that has not ended in time.
+    /// Checks the timeouts: resends orders without a reply, and undoes a phase that has not ended in time.
     pub fn tick(&mut self, now_ms: u64) -> Vec<OrderEnvelope> {
         if self.outcome().is_some() {
             return Vec::new();
--- a/crates/ochreyard-core/tests/group_map_model/mod.rs
+++ b/crates/ochreyard-core/tests/group_map_model/mod.rs
@@ -1,5 +1,5 @@
-//! A group of engines as its rules say, with orders that get lost, go unanswered
-//! or are carried out late; and agents that grant, freeze, die and come back.
+//! A model of a group whose engines follow the documented rules, where orders are lost, stay
+//! unanswered or are carried out late, and where agents grant leadership, freeze, crash and restart.
 
 use ochreyard_core::group_map::{
     ArmedMap, GroupPlacement, LeaderGrant, LeaderId, Leadership, MapController, MapControllerSettings, Order,
@@ -12,15 +12,15 @@
 const LEASE_MS: u64 = 300;
 const TICK_MS: u64 = 10;
 const STEP_MS: u64 = 50;
-/// Time to copy the experts of one change.
+/// Time to copy the experts of one change, in milliseconds.
 const COPY_MS: u64 = 80;
-/// One round in so many in which a leader would rather change to another map.
-const GIVES_WAY_ONE_IN: u64 = 12;
+/// Mean number of rounds after which a leader wants to replace a change in progress.
+const PREEMPTION_ONE_IN: u64 = 12;
 
-/// Even numbers from a seed.
-pub struct Draws(u64);
+/// Uniform random numbers from a seed.
+pub struct Random(u64);
 
-impl Draws {
+impl Random {
     pub fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(1);
         hash::mix(self.0) % bound
@@ -35,24 +35,24 @@
 struct Engine {
     map: (u64, u64),
     highest: u64,
-    /// The map whose experts are being copied, and when they are there.
+    /// The version and content of the map whose experts are being copied, and the time at which the copies are complete.
     copying: Option<(u64, u64, u64)>,
     prepared: Option<(u64, u64)>,
     armed: Option<(u64, u64, u64)>,
     held: Option<u64>,
 }
 
-/// What a map holds, as a number.
-fn content_of(map: &[Vec<Vec<u16>>]) -> u64 {
+/// A hash of the content of a map.
+fn content_hash(map: &[Vec<Vec<u16>>]) -> u64 {
     let words = map.iter().flatten().flat_map(|held| held.iter().map(|e| u64::from(*e) + 1).chain([0]));
     words.fold(7, |sum, word| hash::mix(sum ^ word))
 }
 
-fn dealt() -> GroupPlacement {
+fn initial_placement() -> GroupPlacement {
     GroupPlacement::round_robin(1, EXPERTS, RANKS)
 }
 
-/// A placement that differs with `number`: one expert has a second replica.
+/// A placement in which one expert has a second replica, both chosen by `number`.
 fn variant(number: u64) -> GroupPlacement {
     let mut ranks: Vec<Vec<Vec<u16>>> =
         (0..RANKS).map(|rank| vec![(rank..EXPERTS).step_by(RANKS).map(|e| e as u16).collect()]).collect();
@@ -68,36 +68,36 @@
 }
 
 struct Candidate {
-    life: u64,
+    incarnation: u64,
     leadership: Leadership,
     controller: MapController,
     frozen_until_ms: u64,
     pending: Vec<(usize, SentOrder)>,
     outcomes: Vec<(usize, SentOrder, OrderOutcome)>,
-    asked: u64,
-    waits_until_ms: u64,
-    leads: bool,
+    proposals: u64,
+    retry_at_ms: u64,
+    is_leading: bool,
 }
 
 impl Candidate {
-    fn new(rank: usize, life: u64) -> Self {
+    fn new(rank: usize, incarnation: u64) -> Self {
         Self {
-            life,
+            incarnation,
             leadership: Leadership::new(LEASE_MS),
-            controller: MapController::new(MapControllerSettings::default(), rank, life),
+            controller: MapController::new(MapControllerSettings::default(), rank, incarnation),
             frozen_until_ms: 0,
             pending: Vec::new(),
             outcomes: Vec::new(),
-            asked: 0,
-            waits_until_ms: 0,
-            leads: false,
+            proposals: 0,
+            retry_at_ms: 0,
+            is_leading: false,
         }
     }
 }
 
-/// A group with its agents, under faults drawn from a seed.
+/// A group with its agents, under faults chosen at random from a seed.
 pub struct World {
-    draws: Draws,
+    random: Random,
     now_ms: u64,
     epoch: u64,
     step: u64,
@@ -106,25 +106,25 @@
     engines: Vec<Engine>,
     agents: Vec<Agent>,
     candidates: Vec<Candidate>,
-    late: Vec<(u64, usize, SentOrder)>,
-    lives: u64,
-    /// Longest time that the group has waited on a hold, in milliseconds.
-    pub stood_ms: u64,
-    standing_since_ms: Option<u64>,
-    /// Times that the map in use changed.
+    late_orders: Vec<(u64, usize, SentOrder)>,
+    last_incarnation: u64,
+    /// Longest time that a hold has stalled the group, in milliseconds.
+    pub max_stall_ms: u64,
+    stalled_since_ms: Option<u64>,
+    /// Number of changes of the map in use.
     pub switches: u64,
     has_faults: bool,
-    /// Until when the group stands since an engine has started again: then it forms anew.
-    forms_ms: Option<u64>,
+    /// After the restart of an engine, the time at which the group forms anew; it is stalled until then.
+    forms_at_ms: Option<u64>,
 }
 
 impl World {
     pub fn new(seed: u64) -> Self {
         let agents = (0..RANKS).map(|_| Agent { grant: LeaderGrant::new(LEASE_MS, 0), down_until_ms: 0 }).collect();
         let candidates = (0..RANKS).map(|rank| Candidate::new(rank, rank as u64 + 1)).collect();
-        let engine = Engine { map: (0, content_of(dealt().sets())), ..Engine::default() };
+        let engine = Engine { map: (0, content_hash(initial_placement().sets())), ..Engine::default() };
         Self {
-            draws: Draws(seed),
+            random: Random(seed),
             now_ms: 0,
             epoch: 1,
             step: 0,
@@ -133,95 +133,95 @@
             engines: vec![engine; RANKS],
             agents,
             candidates,
-            late: Vec::new(),
-            lives: RANKS as u64,
-            stood_ms: 0,
-            standing_since_ms: None,
+            late_orders: Vec::new(),
+            last_incarnation: RANKS as u64,
+            max_stall_ms: 0,
+            stalled_since_ms: None,
             switches: 0,
             has_faults: true,
-            forms_ms: None,
+            forms_at_ms: None,
         }
     }
 
     /// Ends all faults; late orders may still be carried out.
-    pub fn calm(&mut self) {
+    pub fn end_faults(&mut self) {
         self.has_faults = false;
         self.is_idle = false;
     }
 
-    /// Runs for so long; an error says how two maps came to be in one step.
+    /// Runs the group for `for_ms`. The error describes a step that uses two maps.
     pub fn run(&mut self, for_ms: u64) -> Result<(), String> {
         let until_ms = self.now_ms + for_ms;
         while self.now_ms < until_ms {
             self.now_ms += TICK_MS;
             if self.has_faults {
-                self.inject();
+                self.inject_faults();
             }
-            self.carry_out_late();
-            self.end_copies();
+            self.carry_out_late_orders();
+            self.complete_copies();
             self.advance_steps()?;
             for at in 0..RANKS {
-                self.act(at);
+                self.run_round(at);
             }
         }
         Ok(())
     }
 
-    fn inject(&mut self) {
-        if self.draws.one_in(150) {
+    fn inject_faults(&mut self) {
+        if self.random.one_in(150) {
             self.is_idle = !self.is_idle;
         }
-        if self.draws.one_in(120) {
-            let at = self.draws.below(RANKS as u64) as usize;
-            self.candidates[at].frozen_until_ms = self.now_ms + 50 + self.draws.below(1_500);
+        if self.random.one_in(120) {
+            let at = self.random.below(RANKS as u64) as usize;
+            self.candidates[at].frozen_until_ms = self.now_ms + 50 + self.random.below(1_500);
         }
-        if self.draws.one_in(200) {
-            let at = self.draws.below(RANKS as u64) as usize;
-            let down_ms = 50 + self.draws.below(800);
+        if self.random.one_in(200) {
+            let at = self.random.below(RANKS as u64) as usize;
+            let down_ms = 50 + self.random.below(800);
             self.restart_agent(at, down_ms);
         }
-        if self.draws.one_in(900) {
+        if self.random.one_in(900) {
             self.form_anew();
         }
-        if self.forms_ms.is_none() && self.draws.one_in(500) {
+        if self.forms_at_ms.is_none() && self.random.one_in(500) {
             self.restart_engine();
         }
     }
 
     fn restart_agent(&mut self, at: usize, down_ms: u64) {
-        self.lives += 1;
+        self.last_incarnation += 1;
         let up_ms = self.now_ms + down_ms;
         self.agents[at] = Agent { grant: LeaderGrant::new(LEASE_MS, up_ms), down_until_ms: up_ms };
-        self.candidates[at] = Candidate::new(at, self.lives);
+        self.candidates[at] = Candidate::new(at, self.last_incarnation);
         self.candidates[at].frozen_until_ms = up_ms;
     }
 
-    /// An engine starts again as itself. Until the group forms anew, nobody has noticed: it
-    /// reports the epoch and the state of the group as before, and takes orders.
+    /// Restarts an engine with its state reset. Until the group forms anew, this goes unnoticed: the
+    /// engine reports the epoch and the state of the group as before, and accepts orders.
     fn restart_engine(&mut self) {
-        let at = self.draws.below(RANKS as u64) as usize;
-        self.engines[at] = Engine { map: (0, content_of(dealt().sets())), ..Engine::default() };
-        self.forms_ms = Some(self.now_ms + 20 + self.draws.below(600));
+        let at = self.random.below(RANKS as u64) as usize;
+        self.engines[at] = Engine { map: (0, content_hash(initial_placement().sets())), ..Engine::default() };
+        self.forms_at_ms = Some(self.now_ms + 20 + self.random.below(600));
     }
 
     fn form_anew(&mut self) {
-        self.forms_ms = None;
+        self.forms_at_ms = None;
         self.epoch += 1;
-        let map = (0, content_of(dealt().sets()));
-        // A number of a map is never used again, in no epoch.
+        let map = (0, content_hash(initial_placement().sets()));
+        // A map version is never used again, not even in another epoch.
         self.engines.iter_mut().for_each(|e| *e = Engine { map, highest: e.highest, ..Engine::default() });
     }
 
-    fn carry_out_late(&mut self) {
+    fn carry_out_late_orders(&mut self) {
         let now_ms = self.now_ms;
-        let due: Vec<_> = self.late.iter().filter(|(at_ms, ..)| *at_ms <= now_ms).cloned().collect();
-        self.late.retain(|(at_ms, ..)| *at_ms > now_ms);
+        let due: Vec<_> = self.late_orders.iter().filter(|(due_ms, ..)| *due_ms <= now_ms).cloned().collect();
+        self.late_orders.retain(|(due_ms, ..)| *due_ms > now_ms);
         for (_, rank, order) in due {
             self.carry_out(rank, &order);
         }
     }
 
-    fn end_copies(&mut self) {
+    fn complete_copies(&mut self) {
         let now_ms = self.now_ms;
         for engine in &mut self.engines {
             if let Some((version, content, _)) = engine.copying.take_if(|(.., until_ms)| *until_ms <= now_ms) {
@@ -231,26 +231,26 @@
     }
 
     fn advance_steps(&mut self) -> Result<(), String> {
-        if self.forms_ms.is_some_and(|forms_ms| forms_ms <= self.now_ms) {
+        if self.forms_at_ms.is_some_and(|forms_at_ms| forms_at_ms <= self.now_ms) {
             self.form_anew();
         }
-        if self.forms_ms.is_some() {
-            // Steps are made by all ranks together.
-            self.standing_since_ms = None;
+        if self.forms_at_ms.is_some() {
+            // All ranks make a step together, so none is made while one rank is missing.
+            self.stalled_since_ms = None;
             return Ok(());
         }
         let next = self.step + 1;
         let is_held = self.engines.iter().any(|engine| engine.held == Some(next));
         if self.is_idle || self.now_ms < self.next_step_ms {
-            self.standing_since_ms = None;
+            self.stalled_since_ms = None;
             return Ok(());
         }
         if is_held {
-            let since_ms = *self.standing_since_ms.get_or_insert(self.now_ms);
-            self.stood_ms = self.stood_ms.max(self.now_ms - since_ms);
+            let since_ms = *self.stalled_since_ms.get_or_insert(self.now_ms);
+            self.max_stall_ms = self.max_stall_ms.max(self.now_ms - since_ms);
             return Ok(());
         }
-        self.standing_since_ms = None;
+        self.stalled_since_ms = None;
         self.step = next;
         self.next_step_ms = self.now_ms + STEP_MS;
         let before = self.engines[0].map;
@@ -264,7 +264,7 @@
         self.switches += u64::from(first != before);
         if self.engines.iter().any(|engine| engine.map != first) {
             let maps: Vec<_> = self.engines.iter().map(|engine| engine.map).collect();
-            return Err(format!("step {next} at {} ms begins with {maps:?}", self.now_ms));
+            return Err(format!("step {next} at {} ms uses different maps: {maps:?}", self.now_ms));
         }
         Ok(())
     }
@@ -280,9 +280,9 @@
                     let allowed = *version > engine.highest && engine.armed.is_none();
                     if allowed {
                         engine.highest = *version;
-                        // What was copied for the map before is dropped.
+                        // The copies for the previously prepared map are dropped.
                         engine.prepared = None;
-                        engine.copying = Some((*version, content_of(map), copied_ms));
+                        engine.copying = Some((*version, content_hash(map), copied_ms));
                     }
                     allowed
                 }
@@ -308,15 +308,15 @@
         if taken { OrderOutcome::Taken } else { OrderOutcome::Refused }
     }
 
-    /// An order on its way: carried out now, or late, or never.
+    /// Delivers an order: it is carried out now, late or never, and its answer may be lost.
     fn deliver(&mut self, rank: usize, sent: &SentOrder) -> OrderOutcome {
         if !self.has_faults {
             return self.carry_out(rank, sent);
         }
-        match self.draws.below(10) {
+        match self.random.below(10) {
             0 => {
-                let late_ms = 20 + self.draws.below(3_000);
-                self.late.push((self.now_ms + late_ms, rank, sent.clone()));
+                let late_ms = 20 + self.random.below(3_000);
+                self.late_orders.push((self.now_ms + late_ms, rank, sent.clone()));
                 OrderOutcome::Unknown
             }
             1 => OrderOutcome::Unknown,
@@ -346,48 +346,49 @@
         }
     }
 
-    /// One round of one candidate: sends what is pending, asks all, decides.
-    fn act(&mut self, at: usize) {
+    /// Runs one polling round of one candidate: it sends the pending orders, asks all agents, and decides.
+    fn run_round(&mut self, at: usize) {
         let now_ms = self.now_ms;
         if now_ms < self.candidates[at].frozen_until_ms {
             return;
         }
-        let me = LeaderId { life: self.candidates[at].life };
-        let has_lapsed = self.candidates[at].leads && !self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
+        let leader_id = LeaderId { life: self.candidates[at].incarnation };
+        let has_lapsed =
+            self.candidates[at].is_leading && !self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
         if has_lapsed {
-            self.stand_down(at);
+            self.resign(at);
             return;
         }
-        let is_led = self.agents[at].grant.holder(now_ms).is_some_and(|holder| *holder != me);
+        let is_led_by_other = self.agents[at].grant.holder(now_ms).is_some_and(|holder| *holder != leader_id);
         let pending = std::mem::take(&mut self.candidates[at].pending);
         for (rank, order) in pending {
-            let outcome = self.send(&me, rank, &order);
+            let outcome = self.send(&leader_id, rank, &order);
             self.candidates[at].outcomes.push((rank, order, outcome));
         }
-        // Candidates ask in turn, so that one of them gets most grants.
-        let is_turn = now_ms / TICK_MS % (2 * RANKS as u64) == 2 * at as u64;
-        let leads = self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
-        if !leads && (is_led || !is_turn || now_ms < self.candidates[at].waits_until_ms) {
+        // Candidates ask in turn, so that one of them gets a majority of the grants.
+        let is_own_turn = now_ms / TICK_MS % (2 * RANKS as u64) == 2 * at as u64;
+        let is_leading = self.candidates[at].leadership.has_majority(RANKS, now_ms, 0);
+        if !is_leading && (is_led_by_other || !is_own_turn || now_ms < self.candidates[at].retry_at_ms) {
             return;
         }
-        let reach = self.candidates[at].controller.must_reach_all();
+        let must_reach_all = self.candidates[at].controller.must_reach_all();
         let mut views = Vec::new();
         for rank in 0..RANKS {
             let is_up = now_ms >= self.agents[rank].down_until_ms;
-            let granted = is_up && self.agents[rank].grant.try_grant(&me, LEASE_MS, now_ms);
+            let granted = is_up && self.agents[rank].grant.try_grant(&leader_id, LEASE_MS, now_ms);
             self.candidates[at].leadership.on_answer(rank, granted, now_ms);
-            views.push((is_up || reach).then(|| self.view(rank)));
+            views.push((is_up || must_reach_all).then(|| self.view(rank)));
         }
         self.decide(at, views);
     }
 
-    fn send(&mut self, me: &LeaderId, rank: usize, order: &SentOrder) -> OrderOutcome {
+    fn send(&mut self, leader_id: &LeaderId, rank: usize, order: &SentOrder) -> OrderOutcome {
         let is_up = self.now_ms >= self.agents[rank].down_until_ms;
-        let obeys = self.agents[rank].grant.holder(self.now_ms) == Some(me);
-        // Holds and releases go to the engine itself, as all orders do where its agent is
-        // down: nobody looks at grants there.
-        let is_direct = matches!(order.order, Order::Hold { .. } | Order::Go { .. });
-        if is_up && !obeys && !is_direct {
+        let accepts_orders = self.agents[rank].grant.holder(self.now_ms) == Some(leader_id);
+        // Holds and releases are sent directly to the engine, as are all orders while its agent is
+        // down: the engine does not check grants.
+        let is_sent_to_engine = matches!(order.order, Order::Hold { .. } | Order::Go { .. });
+        if is_up && !accepts_orders && !is_sent_to_engine {
             return OrderOutcome::Unknown;
         }
         self.deliver(rank, order)
@@ -396,50 +397,51 @@
     fn decide(&mut self, at: usize, views: Vec<Option<RankView>>) {
         let now_ms = self.now_ms;
         let epoch_map = self.engines[0].map;
-        let freeze = self.has_faults && self.draws.one_in(60);
-        let freeze_ms = 30 + self.draws.below(1_200);
-        let wants_another = self.has_faults && self.draws.one_in(GIVES_WAY_ONE_IN);
+        let is_frozen = self.has_faults && self.random.one_in(60);
+        let freeze_ms = 30 + self.random.below(1_200);
+        let wants_other_map = self.has_faults && self.random.one_in(PREEMPTION_ONE_IN);
         let candidate = &mut self.candidates[at];
         let round = Round { views, outcomes: std::mem::take(&mut candidate.outcomes) };
         if !candidate.leadership.has_majority(RANKS, now_ms, 50) {
             if !candidate.leadership.has_majority(RANKS, now_ms, 0) {
-                self.stand_down(at);
+                self.resign(at);
             }
             return;
         }
-        candidate.leads = true;
-        let maps_known = candidate.controller.current_map().is_some_and(|(version, _)| *version == epoch_map.0);
-        let all_equal = self.engines.iter().all(|engine| engine.map == epoch_map);
-        if !maps_known && all_equal {
-            let placement = (0..64).map(variant).chain([dealt()]).find(|p| content_of(p.sets()) == epoch_map.1);
+        candidate.is_leading = true;
+        let is_map_known = candidate.controller.current_map().is_some_and(|(version, _)| *version == epoch_map.0);
+        let all_maps_equal = self.engines.iter().all(|engine| engine.map == epoch_map);
+        if !is_map_known && all_maps_equal {
+            let placement =
+                (0..64).map(variant).chain([initial_placement()]).find(|p| content_hash(p.sets()) == epoch_map.1);
             if let Some(placement) = placement {
                 candidate.controller.set_current_map(epoch_map.0, placement);
             }
         }
         candidate.pending = candidate.controller.on_round(&round, now_ms);
-        let gives_way = wants_another && candidate.controller.is_preemptible(&round.views);
-        if gives_way || candidate.controller.accepts_proposal(&round.views, now_ms) {
-            candidate.asked += 1;
-            let number = hash::mix(candidate.life * 1000 + candidate.asked);
+        let is_preempted = wants_other_map && candidate.controller.is_preemptible(&round.views);
+        if is_preempted || candidate.controller.accepts_proposal(&round.views, now_ms) {
+            candidate.proposals += 1;
+            let number = hash::mix(candidate.incarnation * 1000 + candidate.proposals);
             candidate.controller.propose(variant(number % 24), 1, now_ms);
         }
-        if freeze {
+        if is_frozen {
             candidate.frozen_until_ms = now_ms + freeze_ms;
         }
     }
 }
 
 impl World {
-    /// Gives back what was granted, and leaves the others a lease to agree.
-    fn stand_down(&mut self, at: usize) {
+    /// Releases the grants of a candidate, which then waits one lease so that another can win a majority.
+    fn resign(&mut self, at: usize) {
         let candidate = &mut self.candidates[at];
         candidate.controller = candidate.controller.restarted(at);
         candidate.leadership.clear();
-        candidate.leads = false;
+        candidate.is_leading = false;
         candidate.pending.clear();
         candidate.outcomes.clear();
-        candidate.waits_until_ms = self.now_ms + LEASE_MS;
-        let me = LeaderId { life: candidate.life };
-        self.agents.iter_mut().for_each(|agent| agent.grant.release(&me));
+        candidate.retry_at_ms = self.now_ms + LEASE_MS;
+        let leader_id = LeaderId { life: candidate.incarnation };
+        self.agents.iter_mut().for_each(|agent| agent.grant.release(&leader_id));
     }
 }
--- a/crates/ochreyard-core/tests/lease.rs
+++ b/crates/ochreyard-core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases in the log: one holder at a time, whatever order readers see.
+//! Leases in the log have one holder at a time, however late readers see the records.
 
 use ochreyard_core::ids::Incarnation;
 use ochreyard_core::lease::{HeldLease, LeaseMargin, LeaseRecord, LeaseTable};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn of_two_contenders_the_first_in_the_log_holds() {
+fn the_first_of_two_contenders_in_the_log_holds_the_lease() {
     let mut table = LeaseTable::default();
     assert!(table.apply(3, &record(1, None), 0));
     assert!(table.apply(4, &record(2, Some(3)), 10));
@@ -32,7 +32,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// An order that the old holder may send has arrived before a successor asks,
+    /// An order that the old holder may send arrives before a successor requests the lease,
     /// however late the records are seen and however long the holder is paused.
     #[test]
     fn the_last_order_arrives_before_a_successor_starts(
@@ -47,7 +47,7 @@
         let mut table = LeaseTable::default();
         table.apply(3, &record(1, None), written_ms + seen_after_ms);
         let successor_ms = table.earliest_request_ms(NAME, Incarnation(2), MARGIN);
-        // scripts/prove found that sends at random hardly ever come near the end.
+        // Uniformly random send times hardly ever fall near the end of the lease (found by scripts/prove).
         let end_ms = requested_ms + TTL_MS;
         for sent_ms in sends.into_iter().chain(around_the_end_ms.into_iter().map(|ms| end_ms + ms - 200)) {
             if held.may_send(sent_ms, MARGIN) {
--- a/crates/ochreyard-core/tests/one_map.rs
+++ b/crates/ochreyard-core/tests/one_map.rs
@@ -1,5 +1,5 @@
-//! In every step all ranks use one map, whatever happens to orders, replies and
-//! leaders; and a change ends in bounded time once faults end.
+//! In every step all ranks use the same map, whatever happens to orders, replies and
+//! leaders, and a change ends within a bounded time after faults have ended.
 
 mod common;
 
@@ -16,9 +16,9 @@
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// This rank enters its next step, if lock-step and its gate let it.
+    /// The rank enters its next step, if lock-step and its gate allow it.
     Step(u32),
-    /// All ranks do, in order.
+    /// All ranks enter their next steps, in order.
     StepAll,
     DeliverOrder(usize),
     RepeatOrder(usize),
@@ -31,7 +31,7 @@
         leader: usize,
         ms: u64,
     },
-    /// The newest leader is paused; another takes over. The old one may wake later.
+    /// The newest leader is paused and another takes over. The old one may resume later.
     NewLeader,
 }
 
@@ -57,7 +57,7 @@
     leaders: Vec<MapSwitch>,
     orders: Vec<(usize, OrderEnvelope)>,
     replies: Vec<(usize, RankReply)>,
-    map_of_step: BTreeMap<u64, u64>,
+    map_by_step: BTreeMap<u64, u64>,
 }
 
 impl World {
@@ -68,7 +68,7 @@
             leaders: Vec::new(),
             orders: Vec::new(),
             replies: Vec::new(),
-            map_of_step: BTreeMap::new(),
+            map_by_step: BTreeMap::new(),
         };
         world.new_leader();
         world
@@ -93,8 +93,8 @@
             return;
         }
         let map = self.ranks[rank].enter(next);
-        let first = *self.map_of_step.entry(next).or_insert(map);
-        assert_eq!(first, map, "rank {rank} uses map {map} in step {next}, another uses {first}");
+        let expected = *self.map_by_step.entry(next).or_insert(map);
+        assert_eq!(expected, map, "rank {rank} uses map {map} in step {next}, another uses {expected}");
     }
 
     fn deliver_order(&mut self, (leader, order): (usize, OrderEnvelope)) {
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Faults have ended: the newest leader lives, messages arrive.
-    fn calm(&mut self) -> SwitchOutcome {
+    /// Runs the newest leader without faults until its change ends.
+    fn run_without_faults(&mut self) -> SwitchOutcome {
         const ROUNDS: u32 = 200;
         for _ in 0..ROUNDS {
             self.deliver_all();
@@ -159,7 +159,7 @@
         panic!("the change did not end: {:?}", self.leaders.last().unwrap().phase());
     }
 
-    fn assert_goes_on(&mut self) {
+    fn assert_makes_progress(&mut self) {
         let before = self.ranks[0].view().step;
         for _ in 0..20 {
             (0..RANKS as usize).for_each(|rank| self.step(rank));
@@ -175,23 +175,23 @@
     fn no_step_has_two_maps_and_every_change_ends(ops in prop::collection::vec(op(), 1..250)) {
         let mut world = World::new();
         ops.iter().for_each(|op| world.apply(op));
-        world.calm();
-        world.assert_goes_on();
+        world.run_without_faults();
+        world.assert_makes_progress();
     }
 }
 
 #[test]
-fn in_calm_weather_the_group_gets_the_new_map() {
+fn without_faults_the_group_switches_to_the_new_map() {
     let mut world = World::new();
-    assert_eq!(world.calm(), SwitchOutcome::Switched);
-    world.assert_goes_on();
-    assert_eq!(world.map_of_step.values().last(), Some(&(OLD_MAP + 1)));
+    assert_eq!(world.run_without_faults(), SwitchOutcome::Switched);
+    world.assert_makes_progress();
+    assert_eq!(world.map_by_step.values().last(), Some(&(OLD_MAP + 1)));
 }
 
 #[test]
-fn a_rank_that_will_not_answer_leads_to_the_old_map() {
+fn an_unresponsive_rank_makes_the_group_return_to_the_old_map() {
     let mut world = World::new();
-    // Rank 3 hears nothing from the gate on; then it is back.
+    // Rank 3 receives no orders from the gate on, and later it is reachable again.
     for _ in 0..40 {
         world.now_ms += SETTINGS.resend_ms;
         let orders = world.leaders[0].tick(world.now_ms);
@@ -207,15 +207,15 @@
         (0..RANKS as usize).for_each(|rank| world.step(rank));
     }
     assert_eq!(world.leaders[0].outcome(), None);
-    assert_eq!(world.calm(), SwitchOutcome::Undone);
-    world.assert_goes_on();
-    assert_eq!(world.map_of_step.values().last(), Some(&OLD_MAP));
+    assert_eq!(world.run_without_faults(), SwitchOutcome::Undone);
+    world.assert_makes_progress();
+    assert_eq!(world.map_by_step.values().last(), Some(&OLD_MAP));
 }
 
-/// Found by the property: the second change gated at the step from which the
-/// first one's map was to be used, took its place, and had no map to go back to.
+/// Regression test: the second change gated the step from which the first change's map was
+/// scheduled, replaced that map in the schedule, and had no map left to restore.
 #[test]
-fn a_change_close_behind_another_keeps_a_map_to_go_back_to() {
+fn a_change_right_after_another_keeps_a_map_to_restore() {
     let mut world = World::new();
     while world.leaders[0].outcome().is_none() {
         world.deliver_all();
@@ -226,7 +226,7 @@
     }
     world.apply(&Op::LoseOrder(0));
     world.apply(&Op::Tick { leader: 1, ms: SETTINGS.phase_timeout_ms });
-    assert_eq!(world.calm(), SwitchOutcome::Undone);
-    world.assert_goes_on();
-    assert_eq!(world.map_of_step.values().last(), Some(&(OLD_MAP + 1)));
+    assert_eq!(world.run_without_faults(), SwitchOutcome::Undone);
+    world.assert_makes_progress();
+    assert_eq!(world.map_by_step.values().last(), Some(&(OLD_MAP + 1)));
 }
--- a/crates/ochreyard-core/tests/rebalance.rs
+++ b/crates/ochreyard-core/tests/rebalance.rs
@@ -1,4 +1,4 @@
-//! The expert map keeps its rules, moves pay, and a stalled rank is no hot one.
+//! The expert map stays valid, moves lower the skew, and a stalled rank is not taken for a hot one.
 
 use ochreyard_core::rebalance::{
     BudgetedRebalancer, Placement, RebalanceSettings, SlowStepCause, diagnose_slow_steps, skew,
@@ -10,17 +10,17 @@
 const RANKS: usize = 6;
 const SLOTS: usize = 5;
 
-fn keeps_its_rules(placement: &Placement) -> bool {
-    let no_rank_holds_one_twice = placement.ranks().iter().all(|held| {
+fn is_valid(placement: &Placement) -> bool {
+    let ranks_are_valid = placement.ranks().iter().all(|held| {
         let mut sorted = held.clone();
         sorted.sort_unstable();
         sorted.dedup();
         sorted.len() == held.len() && held.len() <= SLOTS
     });
     let count = |expert: usize| placement.ranks().iter().filter(|held| held.contains(&expert)).count();
-    let all_there =
+    let experts_are_complete =
         (0..EXPERTS).all(|expert| count(expert) >= 1 && count(expert) == placement.replicas(expert) as usize);
-    no_rank_holds_one_twice && all_there
+    ranks_are_valid && experts_are_complete
 }
 
 proptest! {
@@ -33,21 +33,21 @@
         for settings in [RebalanceSettings::weigh_skew(), RebalanceSettings::weigh_moves()] {
             let mut policy = BudgetedRebalancer::new(settings, EXPERTS);
             let mut placement = Placement::even(EXPERTS, RANKS, SLOTS);
-            prop_assert!(keeps_its_rules(&placement));
+            prop_assert!(is_valid(&placement));
             for counts in &intervals {
                 policy.observe(counts);
                 let (next, copies) = policy.decide(&placement);
-                prop_assert!(keeps_its_rules(&next));
+                prop_assert!(is_valid(&next));
                 prop_assert!(copies <= settings.max_copies_per_interval);
                 placement = next;
             }
-            prop_assert!(keeps_its_rules(&Placement::greedy(&intervals[0], RANKS, SLOTS)));
+            prop_assert!(is_valid(&Placement::greedy(&intervals[0], RANKS, SLOTS)));
         }
     }
 }
 
 #[test]
-fn a_lasting_hot_expert_is_spread_and_then_nothing_moves() {
+fn a_permanently_hot_expert_is_spread_once() {
     let mut counts = vec![10.0; EXPERTS];
     counts[3] = 80.0;
     let mut policy = BudgetedRebalancer::new(RebalanceSettings::weigh_skew(), EXPERTS);
@@ -68,6 +68,10 @@
 #[case::even(&[5.0, 5.1, 5.0, 4.9], &[1.0, 1.0, 1.0, 1.0], SlowStepCause::None)]
 #[case::hot(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.8, 1.0], SlowStepCause::Hot(2))]
 #[case::stalled(&[5.0, 5.0, 9.0, 5.0], &[1.0, 1.0, 1.0, 1.0], SlowStepCause::Stalled(2))]
-fn a_stalled_rank_is_told_from_a_hot_one(#[case] times: &[f64], #[case] loads: &[f64], #[case] verdict: SlowStepCause) {
-    assert_eq!(diagnose_slow_steps(times, loads), verdict);
+fn a_stalled_rank_is_distinguished_from_a_hot_rank(
+    #[case] times: &[f64],
+    #[case] loads: &[f64],
+    #[case] cause: SlowStepCause,
+) {
+    assert_eq!(diagnose_slow_steps(times, loads), cause);
 }
