--- a/crates/ochreyard-direct/src/attempt.rs
+++ b/crates/ochreyard-direct/src/attempt.rs
@@ -144,7 +144,7 @@
 /// Takes what an endpoint that did not run a request tells of itself and of its group.
 fn note_not_run<D: Dialect>(entry: &Entry<D>, pick: &Pick, flight: &Flight<D>, head: &response::Parts) {
     let is_full = head.status == StatusCode::SERVICE_UNAVAILABLE || head.status == StatusCode::TOO_MANY_REQUESTS;
-    let at_fault = head.headers.get(&entry.dialect.headers().at_fault);
+    let at_fault = head.headers.get(&entry.dialect.headers().endpoint_at_fault);
     let is_group_fault = is_full && at_fault.is_some_and(|other| other.as_bytes() != pick.id.as_bytes());
     flight.set(match (is_group_fault, is_full) {
         // Another rank is at fault: this one is as good as before once its group goes on.
--- a/crates/ochreyard-direct/src/call_error.rs
+++ b/crates/ochreyard-direct/src/call_error.rs
@@ -1,4 +1,4 @@
-//! Why a call over a [`CallLink`](crate::CallLink) gave no answer.
+//! Why a call over a [`HttpClient`](crate::CallLink) gave no answer.
 
 use crate::exchange::ExchangeError;
 
@@ -10,13 +10,13 @@
     Connect(String),
     /// No whole answer came in time.
     #[error("no answer in {0} ms")]
-    Late(u128),
+    Timeout(u128),
     /// What was to be sent cannot be written as a request.
     #[error("cannot be sent: {0}")]
-    Unsendable(String),
+    InvalidRequest(String),
     /// The connection broke.
     #[error("connection lost: {0}")]
-    Lost(String),
+    ConnectionLost(String),
 }
 
 impl From<ExchangeError> for CallError {
@@ -24,13 +24,13 @@
         match error {
             ExchangeError::Unreachable(error) => Self::Connect(error.to_string()),
             ExchangeError::Lost(error) => error.into(),
-            error @ (ExchangeError::Unwanted | ExchangeError::ClosedAtOnce) => Self::Lost(error.to_string()),
+            error @ (ExchangeError::Unwanted | ExchangeError::ClosedAtOnce) => Self::ConnectionLost(error.to_string()),
         }
     }
 }
 
 impl From<hyper::Error> for CallError {
     fn from(error: hyper::Error) -> Self {
-        Self::Lost(error.to_string())
+        Self::ConnectionLost(error.to_string())
     }
 }
--- a/crates/ochreyard-direct/src/caller_request.rs
+++ b/crates/ochreyard-direct/src/caller_request.rs
@@ -54,9 +54,9 @@
         let names = dialect.headers();
         let mut headers = head.headers;
         let mut kept: Vec<&HeaderName> = names.end_to_end.iter().collect();
-        kept.extend([&names.attempt_id, &names.last_event, &http::header::HOST]);
+        kept.extend([&names.attempt_id, &names.last_event_id, &http::header::HOST]);
         strip_hop_by_hop(&mut headers, &kept);
-        for name in [&names.key, &names.workspace, &names.target, &names.deadline_ms, &names.not_run] {
+        for name in [&names.api_key, &names.workspace, &names.target, &names.deadline_ms, &names.not_run] {
             while headers.remove(name).is_some() {}
         }
         headers.remove(http::header::CONTENT_LENGTH);
--- a/crates/ochreyard-direct/src/connection.rs
+++ b/crates/ochreyard-direct/src/connection.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// When the system refuses an option.
-pub fn tune(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY).with_retries(2))?;
@@ -57,7 +57,7 @@
     /// When it does not come up in `timeout`.
     pub async fn open(addr: SocketAddr, timeout: Duration) -> io::Result<Self> {
         let stream = tokio::time::timeout(timeout, TcpStream::connect(addr)).await??;
-        tune(&stream)?;
+        set_socket_options(&stream)?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move {
--- a/crates/ochreyard-direct/src/containment.rs
+++ b/crates/ochreyard-direct/src/containment.rs
@@ -10,7 +10,7 @@
 use crate::dialect::Dialect;
 use crate::entry::Entry;
 use crate::meters;
-use crate::peers::tell_all;
+use crate::peers::broadcast;
 
 /// How long crashes are gathered before others are told: all requests of an endpoint break off within a few
 /// milliseconds of its crash, and are told in one message.
@@ -54,7 +54,7 @@
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(GATHER).await;
                 let crashes = std::mem::take(&mut *entry.outbox.crashes.borrow_mut());
-                tell_all(&entry, &QuarantineNews { crashes, ..QuarantineNews::default() });
+                broadcast(&entry, &QuarantineNews { crashes, ..QuarantineNews::default() });
             });
         }
         crashes.push(CrashNews { endpoint: pick.id.clone(), service: service.to_owned(), age_ms, lost: vec![lost] });
@@ -66,7 +66,7 @@
         let news = self.state.borrow_mut().quarantine.begin_trial(fingerprint, now_ms);
         log::info!("event=suspect_tried fingerprint={fingerprint}");
         meters::on_trial();
-        tell_all(self, &news);
+        broadcast(self, &news);
     }
 
     /// A request ended well. Others learn of it when they ask.
@@ -122,7 +122,7 @@
         let news = self.state.borrow_mut().quarantine.release(fingerprint, now_ms);
         log::warn!("event=request_released fingerprint={fingerprint} source=operator");
         self.write_verdict(fingerprint);
-        tell_all(self, &news);
+        broadcast(self, &news);
     }
 
     fn note_judged(&self, judged: &[Judged], source: &str) {
--- a/crates/ochreyard-direct/src/dialect.rs
+++ b/crates/ochreyard-direct/src/dialect.rs
@@ -13,17 +13,17 @@
     /// Milliseconds that the sender will wait.
     pub deadline_ms: HeaderName,
     /// The caller's key; never shown to endpoints.
-    pub key: HeaderName,
+    pub api_key: HeaderName,
     /// The workspace, set by us only.
     pub workspace: HeaderName,
     /// The endpoint that is meant; any other one refuses.
     pub target: HeaderName,
     /// The last event that the caller has.
-    pub last_event: HeaderName,
+    pub last_event_id: HeaderName,
     /// Says that the endpoint did not run the request.
     pub not_run: HeaderName,
     /// Names the endpoint at fault where it is not the one that answers.
-    pub at_fault: HeaderName,
+    pub endpoint_at_fault: HeaderName,
     /// Proves that an answer is the endpoint's own.
     pub proof: HeaderName,
     /// The endpoint's load.
@@ -38,10 +38,10 @@
 
 /// A problem with a document from the platform's log.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{what} cannot be read: {problem}")]
-pub struct Unreadable {
+#[error("{document} cannot be read: {problem}")]
+pub struct DocumentError {
     /// The document.
-    pub what: &'static str,
+    pub document: &'static str,
     /// What is wrong with it.
     pub problem: String,
 }
@@ -73,14 +73,14 @@
     /// # Errors
     ///
     /// When it does not have the expected form.
-    fn read_config(&self, document: &Bytes) -> Result<RouteTable, Unreadable>;
+    fn read_config(&self, document: &Bytes) -> Result<RouteTable, DocumentError>;
 
     /// Reads the record of an endpoint.
     ///
     /// # Errors
     ///
     /// When it does not have the expected form.
-    fn read_endpoint(&self, document: &Bytes) -> Result<EndpointRecord, Unreadable>;
+    fn read_endpoint(&self, document: &Bytes) -> Result<EndpointRecord, DocumentError>;
 
     /// Reads the load that an endpoint told.
     fn read_load(&self, value: &str) -> Option<ReportedLoad>;
--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -20,9 +20,9 @@
 use crate::containment::Outbox;
 use crate::crash_check::CrashChecks;
 use crate::dialect::Dialect;
-use crate::heard::Heard;
-use crate::link::CallLink;
+use crate::http_client::HttpClient;
 use crate::peers::{Newcomers, PassedOver, PeerEndpoint};
+use crate::sync_cursor::SyncCursor;
 
 /// How long a box that has just started waits for what others know, in milliseconds: a few tries at boxes that may be
 /// gone. Those who come meanwhile are told to come back shortly.
@@ -65,8 +65,8 @@
     /// Other boxes that took no news of late.
     pub passed_over: PassedOver,
     draws: Cell<u64>,
-    links: RefCell<BTreeMap<SocketAddr, Rc<CallLink>>>,
-    heard: RefCell<BTreeMap<SocketAddr, Heard>>,
+    links: RefCell<BTreeMap<SocketAddr, Rc<HttpClient>>>,
+    heard: RefCell<BTreeMap<SocketAddr, SyncCursor>>,
 }
 
 impl<D: Dialect> Entry<D> {
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn new(dialect: D, identity: Identity, limits: RepeatLimits, leaving_known_ms: u64, clock: Clock) -> Self {
         let state = State::new(limits, leaving_known_ms);
-        let draws = Cell::new(identity.life);
+        let draws = Cell::new(identity.incarnation);
         Self {
             dialect,
             identity,
@@ -107,15 +107,15 @@
     }
 
     /// An evenly spread number that differs from call to call and from box to box.
-    pub fn draw(&self) -> u64 {
+    pub fn next_random(&self) -> u64 {
         self.draws.set(self.draws.get().wrapping_add(1));
         hash::mix(self.draws.get())
     }
 
     /// The kept connection to another box.
-    pub fn link(&self, addr: SocketAddr) -> Rc<CallLink> {
+    pub fn link(&self, addr: SocketAddr) -> Rc<HttpClient> {
         let mut links = self.links.borrow_mut();
-        Rc::clone(links.entry(addr).or_insert_with(|| Rc::new(CallLink::new(addr))))
+        Rc::clone(links.entry(addr).or_insert_with(|| Rc::new(HttpClient::new(addr))))
     }
 
     /// Drops all kept connections, to endpoints and to other boxes.
@@ -138,7 +138,7 @@
     }
 
     /// Takes what the leader of a group, or an observer, told of it.
-    pub fn take_group_news(&self, news: &GroupNews) {
+    pub fn apply_group_update(&self, news: &GroupNews) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().pool.on_news(news, now_ms);
         log::debug!("event=group_told group={} teller={:?} serving={}", news.group, news.teller, news.is_serving);
@@ -241,17 +241,17 @@
     }
 
     /// How much of what another box tells step by step is known here.
-    pub fn heard(&self, addr: SocketAddr) -> Heard {
+    pub fn heard(&self, addr: SocketAddr) -> SyncCursor {
         self.heard.borrow().get(&addr).copied().unwrap_or_default()
     }
 
     /// Notes how much of what another box tells is known here.
-    pub fn note_heard(&self, addr: SocketAddr, heard: Heard) {
+    pub fn note_heard(&self, addr: SocketAddr, heard: SyncCursor) {
         self.heard.borrow_mut().insert(addr, heard);
     }
 
     /// Notes whether the platform's log answers.
-    pub fn note_log(&self, answers: bool, problem: &str) {
+    pub fn set_log_reachable(&self, answers: bool, problem: &str) {
         let mut state = self.state.borrow_mut();
         let now_ms = self.clock.now_ms();
         if answers {
--- a/crates/ochreyard-direct/src/entry/identity.rs
+++ b/crates/ochreyard-direct/src/entry/identity.rs
@@ -10,7 +10,7 @@
     /// The data centre that it stands in.
     pub data_centre: String,
     /// A number that no other life of any box has.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it says of itself to other boxes.
     pub record: BoxRecord,
 }
--- a/crates/ochreyard-direct/src/follow.rs
+++ b/crates/ochreyard-direct/src/follow.rs
@@ -29,7 +29,7 @@
     }
     match result {
         Ok(value) => {
-            entry.note_log(true, "");
+            entry.set_log_reachable(true, "");
             Some(value)
         }
         Err(KeyedLogError::Gone { first }) => {
@@ -37,7 +37,7 @@
             None
         }
         Err(KeyedLogError::Unavailable(problem)) => {
-            entry.note_log(false, &problem);
+            entry.set_log_reachable(false, &problem);
             None
         }
     }
--- a/crates/ochreyard-direct/src/follow/endpoints.rs
+++ b/crates/ochreyard-direct/src/follow/endpoints.rs
@@ -78,7 +78,7 @@
         return false;
     }
     // Boxes that were told by the same one are all left without a word at once.
-    let spread_ms = entry.draw() % (entry.state.borrow().reading.pause_ms() + 1);
+    let spread_ms = entry.next_random() % (entry.state.borrow().reading.pause_ms() + 1);
     tokio::time::sleep(Duration::from_millis(spread_ms)).await;
     !entry.knows_endpoints()
 }
--- a/crates/ochreyard-direct/src/forward.rs
+++ b/crates/ochreyard-direct/src/forward.rs
@@ -84,12 +84,12 @@
     let names = entry.dialect.headers();
     let host = text(&head.headers, &http::header::HOST).or_else(|| head.uri.host()).unwrap_or_default();
     let route = table.route(host, head.uri.path()).ok_or(ErrorKind::UnknownService)?;
-    let workspace = text(&head.headers, &names.key).and_then(|key| table.workspace_of(key));
+    let workspace = text(&head.headers, &names.api_key).and_then(|key| table.workspace_of(key));
     if table.needs_key() && !route.public && workspace.is_none() {
         return Err(ErrorKind::Unauthenticated);
     }
     let homes = workspace.map_or_else(|| route.homes.clone(), |workspace| route.homes.and(&workspace.homes));
-    let service = route.service_for(entry.draw()).ok_or(ErrorKind::NoEndpoint)?.to_owned();
+    let service = route.service_for(entry.next_random()).ok_or(ErrorKind::NoEndpoint)?.to_owned();
     let caller_ms = text(&head.headers, &names.deadline_ms).and_then(|value| value.trim().parse::<u64>().ok());
     let held_ms = caller_ms.map_or(route.timeout_ms, |ms| ms.min(route.timeout_ms));
     let mut request = CallerRequest::new(&entry.dialect, head, body);
--- a/crates/ochreyard-direct/src/link.rs
+++ b/crates/ochreyard-direct/src/http_client.rs
@@ -14,12 +14,12 @@
 
 /// A peer that is called now and then over one kept connection.
 #[derive(Debug)]
-pub struct CallLink {
+pub struct HttpClient {
     addr: SocketAddr,
     kept: tokio::sync::Mutex<Option<Connection>>,
 }
 
-impl CallLink {
+impl HttpClient {
     /// A link to `addr`; nothing is opened yet.
     #[must_use]
     pub const fn new(addr: SocketAddr) -> Self {
@@ -52,7 +52,7 @@
         message: &T,
         timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
-        let body = serde_json::to_vec(message).map_err(|error| CallError::Unsendable(error.to_string()))?;
+        let body = serde_json::to_vec(message).map_err(|error| CallError::InvalidRequest(error.to_string()))?;
         self.send(Request::post(path), Bytes::from(body), timeout).await
     }
 
@@ -63,7 +63,7 @@
         timeout: Duration,
     ) -> Result<Response<Bytes>, CallError> {
         let head = head.header(http::header::HOST, self.addr.to_string());
-        let request = head.body(Full::from(body)).map_err(|error| CallError::Unsendable(error.to_string()))?;
+        let request = head.body(Full::from(body)).map_err(|error| CallError::InvalidRequest(error.to_string()))?;
         self.call(request, timeout).await
     }
 
@@ -77,7 +77,7 @@
         let mut kept = self.kept.lock().await;
         // Taken out, so that a call that is given up on takes its connection along.
         let connection = kept.take().filter(Connection::is_open);
-        let late = |_| CallError::Late(timeout.as_millis());
+        let late = |_| CallError::Timeout(timeout.as_millis());
         let exchange = self.exchange(connection, request, timeout);
         let (connection, response) = tokio::time::timeout(timeout, exchange).await.map_err(late)??;
         *kept = Some(connection);
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -96,7 +96,7 @@
         let seeker = Seeker { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.choose(pool, boxes, &seeker, entry.draw(), now_ms) {
+        match queue.choose(pool, boxes, &seeker, entry.next_random(), now_ms) {
             Choice::Go(pick) => {
                 if self.has_arrived && state.budget.try_take(&self.service, now_ms) {
                     meters::on_repeat(&self.service);
--- a/crates/ochreyard-direct/src/job/ending.rs
+++ b/crates/ochreyard-direct/src/job/ending.rs
@@ -104,12 +104,12 @@
         let (least, most) = if is_down { COME_BACK_PARTS_DOWN } else { COME_BACK_PARTS };
         let left_ms = self.time_left_ms() as f64;
         let (least_ms, most_ms) = ((left_ms / least) as u64, (left_ms / most) as u64);
-        least_ms + self.entry.draw() % (most_ms - least_ms).max(1)
+        least_ms + self.entry.next_random() % (most_ms - least_ms).max(1)
     }
 
     /// A time after `left_ms`, spread so that callers do not come all at once.
     fn spread_after(&self, left_ms: u64) -> u64 {
-        left_ms + self.entry.draw() % (left_ms / PAUSE_SPREAD).max(LEAST_SPREAD_MS)
+        left_ms + self.entry.next_random() % (left_ms / PAUSE_SPREAD).max(LEAST_SPREAD_MS)
     }
 
     /// A stream was broken off for good.
--- a/crates/ochreyard-direct/src/log_duty.rs
+++ b/crates/ochreyard-direct/src/log_duty.rs
@@ -53,7 +53,7 @@
 
     /// Waits until it is its turn to read the log after its start, or until it has been told.
     pub async fn wait_for_start(&self) {
-        let until_ms = self.started_ms + LEFT_TO_OTHERS_MS + self.identity.life % LEFT_SPREAD_MS;
+        let until_ms = self.started_ms + LEFT_TO_OTHERS_MS + self.identity.incarnation % LEFT_SPREAD_MS;
         while !self.is_seed.get() && !self.is_well_told() && self.clock.now_ms() < until_ms {
             tokio::time::sleep(START_LOOK).await;
         }
@@ -70,6 +70,6 @@
     /// How long to wait after one more call that failed.
     pub fn pause_after_failure(&self, pauses: &mut RetryPauses) -> Duration {
         let in_time_ms = self.state.borrow().reading.in_time_ms();
-        Duration::from_millis(pauses.after_failure(self.duty(), in_time_ms, self.draw()))
+        Duration::from_millis(pauses.after_failure(self.duty(), in_time_ms, self.next_random()))
     }
 }
--- a/crates/ochreyard-direct/src/log_news.rs
+++ b/crates/ochreyard-direct/src/log_news.rs
@@ -10,7 +10,7 @@
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
-use crate::peers::{News, PeerEndpoint, tell_all, tell_data_centre};
+use crate::peers::{PeerEndpoint, PeerUpdate, broadcast, broadcast_to_data_centre};
 
 /// News of what operators wrote.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -23,10 +23,10 @@
     pub evacuations: Vec<EvacuationNews>,
 }
 
-impl News for OperatorNews {
+impl PeerUpdate for OperatorNews {
     const PATH: &'static str = "/operators";
 
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
         if let Some(document) = &self.config {
             entry.take_config(&Bytes::from(document.clone()), "news");
         }
@@ -41,10 +41,10 @@
     pub endpoints: Vec<PeerEndpoint>,
 }
 
-impl News for LeavingNews {
+impl PeerUpdate for LeavingNews {
     const PATH: &'static str = "/leaving";
 
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
         entry.take_peer_endpoints(self.endpoints.clone());
     }
 }
@@ -63,7 +63,7 @@
         let news = OperatorNews { config: document, evacuations: state.evacuations.news().collect() };
         drop(state);
         if news != OperatorNews::default() {
-            tell_data_centre(self, &news);
+            broadcast_to_data_centre(self, &news);
         }
     }
 
@@ -74,7 +74,7 @@
             tells_all(self.identity.own(), &state.boxes, self.clock.now_ms())
         };
         if tells && !endpoints.is_empty() {
-            tell_all(self, &LeavingNews { endpoints });
+            broadcast(self, &LeavingNews { endpoints });
         }
     }
 }
--- a/crates/ochreyard-direct/src/log_return.rs
+++ b/crates/ochreyard-direct/src/log_return.rs
@@ -36,7 +36,7 @@
     /// number of calls a second. Boxes that read for others do not wait.
     pub async fn spread(&self) {
         let is_reader = self.duty() == Duty::Reads;
-        let pause_ms = if is_reader { 0 } else { self.draw() % READ_AGAIN_WITHIN_MS };
+        let pause_ms = if is_reader { 0 } else { self.next_random() % READ_AGAIN_WITHIN_MS };
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 }
--- a/crates/ochreyard-direct/src/peers.rs
+++ b/crates/ochreyard-direct/src/peers.rs
@@ -12,12 +12,12 @@
 mod peer_endpoint;
 mod peer_reading;
 mod peer_state;
-mod question;
+mod state_query;
 mod tell;
 
 pub use ask::keep_asking;
 pub use newcomers::Newcomers;
-pub use news::{News, PassedOver, take_news, tell_all, tell_data_centre};
+pub use news::{PassedOver, PeerUpdate, broadcast, broadcast_to_data_centre, take_news};
 pub use peer_endpoint::PeerEndpoint;
-pub use question::{Question, STATE_PATH};
+pub use state_query::{STATE_PATH, StateQuery};
 pub use tell::state_for;
--- a/crates/ochreyard-direct/src/peers/ask.rs
+++ b/crates/ochreyard-direct/src/peers/ask.rs
@@ -10,10 +10,10 @@
 
 use super::peer_reading::PeerReading;
 use super::peer_state::PeerState;
-use super::question::Question;
+use super::state_query::StateQuery;
 use crate::dialect::Dialect;
 use crate::entry::Entry;
-use crate::link::CallLink;
+use crate::http_client::HttpClient;
 
 /// How often others are asked: several times within the time in which a change
 /// must be in force.
@@ -29,13 +29,13 @@
 
 /// Asks other boxes. `seeds` are addresses that are tried beside the boxes that are known.
 pub async fn keep_asking<D: Dialect>(entry: Rc<Entry<D>>, seeds: Vec<SocketAddr>) {
-    let mut links: BTreeMap<SocketAddr, Rc<CallLink>> = BTreeMap::new();
+    let mut links: BTreeMap<SocketAddr, Rc<HttpClient>> = BTreeMap::new();
     let mut questions = Questions::default();
     loop {
         let is_new = entry.state.borrow().table.is_none();
         tokio::time::sleep(if is_new { FIRST_ASK_EVERY } else { ASK_EVERY }).await;
         for (addr, role) in to_ask(&entry, &seeds, &mut questions) {
-            let link = links.entry(addr).or_insert_with(|| Rc::new(CallLink::new(addr)));
+            let link = links.entry(addr).or_insert_with(|| Rc::new(HttpClient::new(addr)));
             tokio::task::spawn_local(ask(Rc::clone(&entry), Rc::clone(link), role));
         }
     }
@@ -57,7 +57,7 @@
     let is_well = knows_enough && !is_new && entry.is_informed();
     if is_well && !state.boxes.is_empty() {
         let now_ms = entry.clock.now_ms();
-        let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.draw(), now_ms);
+        let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.next_random(), now_ms);
         let relied_on = asked.relied_on.map(|addr| (addr, Role::ReliedOn));
         let any = asked.any.map(|addr| seed_instead(entry, seeds).unwrap_or(addr));
         return relied_on.into_iter().chain(any.map(|addr| (addr, Role::Any))).collect();
@@ -70,7 +70,7 @@
     if addrs.is_empty() {
         return Vec::new();
     }
-    let first = usize::try_from(entry.draw() % addrs.len() as u64).unwrap_or(0);
+    let first = usize::try_from(entry.next_random() % addrs.len() as u64).unwrap_or(0);
     addrs.rotate_left(first);
     addrs.truncate(if is_well || is_new { 1 } else { ASKED_AT_ONCE });
     addrs.into_iter().map(|addr| (addr, Role::ReliedOn)).collect()
@@ -79,16 +79,16 @@
 /// A box that the platform names, every other time for a while after the start: boxes that found different ones of them
 /// would else know each other late.
 fn seed_instead<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr]) -> Option<SocketAddr> {
-    let draw = entry.draw();
+    let draw = entry.next_random();
     let is_young = entry.clock.now_ms() < entry.started_ms + SEEDS_ASKED_MS;
     let others: Vec<SocketAddr> = seeds.iter().copied().filter(|addr| *addr != entry.identity.record.addr).collect();
     let at = usize::try_from(draw / 2).unwrap_or(0).checked_rem(others.len())?;
     (is_young && draw.is_multiple_of(2)).then(|| others[at])
 }
 
-async fn ask<D: Dialect>(entry: Rc<Entry<D>>, link: Rc<CallLink>, role: Role) {
+async fn ask<D: Dialect>(entry: Rc<Entry<D>>, link: Rc<HttpClient>, role: Role) {
     let asked_ms = entry.clock.now_ms();
-    let path = question(&entry, link.addr()).path();
+    let path = question(&entry, link.addr()).to_path();
     let told = match link.get(&path, ASK_TIMEOUT).await {
         Ok(response) => serde_json::from_slice::<PeerState>(response.body()),
         Err(error) => {
@@ -107,9 +107,9 @@
     }
 }
 
-fn question<D: Dialect>(entry: &Entry<D>, to: SocketAddr) -> Question {
+fn question<D: Dialect>(entry: &Entry<D>, to: SocketAddr) -> StateQuery {
     let state = entry.state.borrow();
-    Question {
+    StateQuery {
         version: state.table.as_ref().map(|table| table.version()),
         name: Some(entry.identity.name.clone()),
         record: Some(entry.identity.record.clone()),
--- a/crates/ochreyard-direct/src/peers/news.rs
+++ b/crates/ochreyard-direct/src/peers/news.rs
@@ -16,7 +16,7 @@
 use crate::call_error::CallError;
 use crate::dialect::Dialect;
 use crate::entry::Entry;
-use crate::link::CallLink;
+use crate::http_client::HttpClient;
 
 /// Largest news that are taken.
 const MAX_NEWS_BYTES: usize = 1 << 20;
@@ -30,34 +30,34 @@
 const TRIED_IN_TURN: usize = 3;
 
 /// Something that boxes tell each other.
-pub trait News: Serialize + DeserializeOwned + Clone + 'static {
+pub trait PeerUpdate: Serialize + DeserializeOwned + Clone + 'static {
     /// Where it is told.
     const PATH: &'static str;
 
     /// Takes it over.
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>);
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>);
 }
 
-impl News for GroupNews {
+impl PeerUpdate for GroupNews {
     const PATH: &'static str = "/group";
 
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
-        entry.take_group_news(self);
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
+        entry.apply_group_update(self);
     }
 }
 
-impl News for QuarantineNews {
+impl PeerUpdate for QuarantineNews {
     const PATH: &'static str = "/quarantine";
 
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
         entry.take_quarantine_news(self);
     }
 }
 
-impl News for LimitNews {
+impl PeerUpdate for LimitNews {
     const PATH: &'static str = "/limits";
 
-    fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
+    fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
         entry.take_limit_news(self);
     }
 }
@@ -70,8 +70,8 @@
     pass_on: Vec<SocketAddr>,
 }
 
-impl<N: News> Told<N> {
-    async fn tell(&self, link: &CallLink) -> Result<(), CallError> {
+impl<N: PeerUpdate> Told<N> {
+    async fn tell(&self, link: &HttpClient) -> Result<(), CallError> {
         link.post(N::PATH, self, TELL_TIMEOUT).await.map(drop)
     }
 }
@@ -86,13 +86,13 @@
 ///
 /// One that told hundreds of boxes itself would spend most of its link on it. So it tells about the square
 /// root of them, and each of those passes the news on to as many others.
-pub fn tell_all<D: Dialect, N: News>(entry: &Rc<Entry<D>>, news: &N) {
+pub fn broadcast<D: Dialect, N: PeerUpdate>(entry: &Rc<Entry<D>>, news: &N) {
     let boxes: Vec<SocketAddr> = entry.state.borrow().boxes.addrs().collect();
     tell(entry, news, boxes);
 }
 
 /// Tells all other boxes of this data centre, in the same way.
-pub fn tell_data_centre<D: Dialect, N: News>(entry: &Rc<Entry<D>>, news: &N) {
+pub fn broadcast_to_data_centre<D: Dialect, N: PeerUpdate>(entry: &Rc<Entry<D>>, news: &N) {
     let is_near = |record: &BoxRecord| record.data_centre == entry.identity.data_centre;
     let state = entry.state.borrow();
     let near = state.boxes.iter().filter(|(_, record)| is_near(record)).map(|(_, record)| record.addr);
@@ -101,7 +101,7 @@
     tell(entry, news, boxes);
 }
 
-fn tell<D: Dialect, N: News>(entry: &Rc<Entry<D>>, news: &N, mut boxes: Vec<SocketAddr>) {
+fn tell<D: Dialect, N: PeerUpdate>(entry: &Rc<Entry<D>>, news: &N, mut boxes: Vec<SocketAddr>) {
     // Boxes of one data centre have addresses alike, so most news are passed on within it.
     boxes.sort_unstable();
     boxes.dedup();
@@ -128,7 +128,7 @@
 }
 
 /// Tells the first box of a share that takes the news, and lets it tell the others.
-async fn tell_share<D: Dialect, N: News>(entry: Rc<Entry<D>>, mut told: Told<N>) {
+async fn tell_share<D: Dialect, N: PeerUpdate>(entry: Rc<Entry<D>>, mut told: Told<N>) {
     for _ in 0..TRIED_IN_TURN.min(told.pass_on.len()) {
         let first = told.pass_on.remove(0);
         let Err(error) = told.tell(&entry.link(first)).await else {
@@ -142,7 +142,7 @@
 }
 
 /// Takes what another box tells, and passes it on.
-pub async fn take_news<D: Dialect, N: News>(entry: &Rc<Entry<D>>, request: Request<Incoming>) -> StatusCode {
+pub async fn take_news<D: Dialect, N: PeerUpdate>(entry: &Rc<Entry<D>>, request: Request<Incoming>) -> StatusCode {
     let Ok(body) = Limited::new(request.into_body(), MAX_NEWS_BYTES).collect().await else {
         return StatusCode::BAD_REQUEST;
     };
@@ -153,13 +153,13 @@
             return StatusCode::BAD_REQUEST;
         }
     };
-    told.news.take(entry);
+    told.news.apply(entry);
     pass_on(entry, told);
     StatusCode::NO_CONTENT
 }
 
 /// Passes news on, without waiting for those that are told.
-fn pass_on<D: Dialect, N: News>(entry: &Rc<Entry<D>>, told: Told<N>) {
+fn pass_on<D: Dialect, N: PeerUpdate>(entry: &Rc<Entry<D>>, told: Told<N>) {
     let passed = Rc::new(Told { news: told.news, pass_on: Vec::new() });
     for addr in told.pass_on {
         let (link, passed) = (entry.link(addr), Rc::clone(&passed));
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -7,7 +7,7 @@
 
 use super::peer_endpoint::PeerEndpoint;
 use super::peer_reading::PeerReading;
-use crate::heard::Heard;
+use crate::sync_cursor::SyncCursor;
 
 /// What a box knows and another one may lack.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
@@ -40,5 +40,5 @@
     pub is_busy: bool,
     /// How far the asker knows what is told step by step, with this.
     #[serde(default)]
-    pub told: Heard,
+    pub told: SyncCursor,
 }
--- a/crates/ochreyard-direct/src/peers/question.rs
+++ b/crates/ochreyard-direct/src/peers/state_query.rs
@@ -4,14 +4,14 @@
 
 use ochreyard_core::direct::{BoxRecord, Position};
 
-use crate::heard::Heard;
+use crate::sync_cursor::SyncCursor;
 
 /// Where a box tells what it knows.
 pub const STATE_PATH: &str = "/state";
 
 /// What the asker has, and what it says of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct StateQuery {
     /// Version of its configuration, if it has one.
     pub version: Option<u64>,
     /// Its name.
@@ -23,13 +23,13 @@
     /// How many boxes it knows, and the digest of its list of them.
     pub boxes: Option<(usize, u64)>,
     /// How much of what is told step by step it knows already.
-    pub heard: Heard,
+    pub heard: SyncCursor,
 }
 
-impl Question {
+impl StateQuery {
     /// Reads the query of a request; what cannot be read counts as not said.
     #[must_use]
-    pub fn read(query: &str) -> Self {
+    pub fn parse(query: &str) -> Self {
         let pairs: BTreeMap<&str, &str> = query.split('&').filter_map(|pair| pair.split_once('=')).collect();
         let number = |name: &str| pairs.get(name).and_then(|value| value.parse::<u64>().ok());
         Self {
@@ -38,8 +38,8 @@
             record: record(&pairs),
             from: pairs.get("from").and_then(|value| value.parse().ok()),
             boxes: number("known").and_then(|count| usize::try_from(count).ok()).zip(number("digest")),
-            heard: Heard {
-                life: number("life").unwrap_or(0),
+            heard: SyncCursor {
+                incarnation: number("life").unwrap_or(0),
                 boxes: number("boxes").and_then(|count| usize::try_from(count).ok()).unwrap_or(0),
                 quarantine: number("quarantine").unwrap_or(0),
                 limits: number("limits").unwrap_or(0),
@@ -49,7 +49,7 @@
 
     /// The path with the query that says the same.
     #[must_use]
-    pub fn path(&self) -> String {
+    pub fn to_path(&self) -> String {
         let mut pairs = Vec::new();
         pairs.extend(self.version.map(|version| format!("version={version}")));
         pairs.extend(self.name.as_ref().map(|name| format!("box={name}")));
@@ -59,8 +59,8 @@
         }));
         pairs.extend(self.from.map(|from| format!("from={from}")));
         pairs.extend(self.boxes.map(|(known, digest)| format!("known={known}&digest={digest}")));
-        let Heard { life, boxes, quarantine, limits } = self.heard;
-        pairs.extend((boxes > 0 || quarantine > 0 || limits > 0).then(|| format!("life={life}")));
+        let SyncCursor { incarnation, boxes, quarantine, limits } = self.heard;
+        pairs.extend((boxes > 0 || quarantine > 0 || limits > 0).then(|| format!("life={incarnation}")));
         pairs.extend((boxes > 0).then(|| format!("boxes={boxes}")));
         pairs.extend((quarantine > 0).then(|| format!("quarantine={quarantine}")));
         pairs.extend((limits > 0).then(|| format!("limits={limits}")));
--- a/crates/ochreyard-direct/src/peers/tell.rs
+++ b/crates/ochreyard-direct/src/peers/tell.rs
@@ -8,10 +8,10 @@
 use super::peer_endpoint::PeerEndpoint;
 use super::peer_reading::PeerReading;
 use super::peer_state::PeerState;
-use super::question::Question;
+use super::state_query::StateQuery;
 use crate::dialect::Dialect;
 use crate::entry::{Entry, State};
-use crate::heard::Heard;
+use crate::sync_cursor::SyncCursor;
 
 /// Boxes that one is told of that asks for the first time, those that were learned last.
 const RECENT_BOXES: usize = 64;
@@ -23,7 +23,7 @@
 
 /// The answer to a box that asks; what it says of itself is noted.
 pub fn state_for<D: Dialect>(entry: &Entry<D>, query: &str) -> Bytes {
-    let question = Question::read(query);
+    let question = StateQuery::parse(query);
     let asker = question.name.as_deref().zip(question.record.as_ref());
     if let Some((name, record)) = asker {
         entry.take_box(name, record.clone());
@@ -49,16 +49,17 @@
 /// Names boxes that know more than the asker, and have told fewer.
 fn busy<D: Dialect>(entry: &Entry<D>) -> PeerState {
     let newcomers = entry.newcomers.borrow();
-    let named = newcomers.named(entry.draw());
+    let named = newcomers.named(entry.next_random());
     let boxes = named.map(|(name, record)| (name.to_owned(), record.clone())).collect();
     PeerState { boxes, is_busy: true, ..PeerState::default() }
 }
 
 /// What this box knows and the asker may lack.
-fn told<D: Dialect>(entry: &Entry<D>, question: &Question) -> PeerState {
+fn told<D: Dialect>(entry: &Entry<D>, question: &StateQuery) -> PeerState {
     let state = entry.state.borrow();
     // What was heard of another life says nothing of this one.
-    let heard = if question.heard.life == entry.identity.life { question.heard } else { Heard::default() };
+    let heard =
+        if question.heard.incarnation == entry.identity.incarnation { question.heard } else { SyncCursor::default() };
     PeerState {
         config: newer_config(&state, question.version),
         evacuations: state.evacuations.news().collect(),
@@ -69,8 +70,8 @@
         knows_all_boxes: state.knows_all_boxes,
         limits: state.pool.limit_news_since(heard.limits, entry.clock.now_ms()),
         quarantine: state.quarantine.news_since(heard.quarantine, entry.clock.now_ms()),
-        told: Heard {
-            life: entry.identity.life,
+        told: SyncCursor {
+            incarnation: entry.identity.incarnation,
             boxes: state.boxes.learned(),
             quarantine: state.quarantine.changes(),
             limits: state.pool.limit_changes(),
@@ -117,6 +118,6 @@
     let is_first = heard == 0;
     let since = if is_first { state.boxes.learned().saturating_sub(RECENT_BOXES) } else { heard };
     let news = state.boxes.learned_since(since);
-    let others = state.boxes.sample(SAMPLED_BOXES, identity.life ^ entry.clock.now_ms());
+    let others = state.boxes.sample(SAMPLED_BOXES, identity.incarnation ^ entry.clock.now_ms());
     news.chain(others).map(owned).chain(own).collect()
 }
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -25,7 +25,7 @@
 
 /// Starts the answer to the caller; the rest follows as it arrives.
 pub fn stream<D: Dialect>(job: Job<D>, answer: Answer<D>) -> Response<AnswerBody> {
-    let last_event = &job.entry.dialect.headers().last_event;
+    let last_event = &job.entry.dialect.headers().last_event_id;
     let seen = job.request.headers.get(last_event).and_then(|value| value.to_str().ok()).map(str::to_owned);
     let head = answer.head.clone();
     meters::on_stream_start(&job.service, job.elapsed_ms());
@@ -145,7 +145,7 @@
             return false;
         }
         if let Some(last) = self.splitter.last_id().and_then(|id| HeaderValue::from_str(id).ok()) {
-            let name = self.job.entry.dialect.headers().last_event.clone();
+            let name = self.job.entry.dialect.headers().last_event_id.clone();
             self.job.request.headers.insert(name, last);
         }
         match self.job.next_answer().await {
--- a/crates/ochreyard-direct/src/serve.rs
+++ b/crates/ochreyard-direct/src/serve.rs
@@ -66,7 +66,7 @@
         "event=entry_started entry={} data_centre={} life={} pid={}",
         identity.name,
         identity.data_centre,
-        identity.life,
+        identity.incarnation,
         std::process::id()
     );
     let entry = Rc::new(Entry::new(
@@ -105,7 +105,7 @@
     Identity {
         name: settings.text("entry").to_owned(),
         data_centre: settings.text("data_centre").to_owned(),
-        life: new_life(settings.text("entry")),
+        incarnation: new_life(settings.text("entry")),
         record: BoxRecord {
             addr: settings.addr("peer_addr"),
             data_centre: settings.text("data_centre").to_owned(),
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -19,7 +19,7 @@
 use crate::entry::Entry;
 use crate::log_news::{LeavingNews, OperatorNews};
 use crate::operator_side::{self, QUARANTINE_PATH, RELEASE_PATH};
-use crate::peers::News;
+use crate::peers::PeerUpdate;
 use crate::{connection, forward, meters, peers};
 
 /// Least size of the buffer for a head; the library needs this much.
@@ -50,7 +50,7 @@
 }
 
 async fn serve_caller<D: Dialect>(entry: Rc<Entry<D>>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
-    if let Err(error) = connection::tune(&stream) {
+    if let Err(error) = connection::set_socket_options(&stream) {
         log::debug!("event=tune_refused error=\"{error}\"");
     }
     let limits = entry.state.borrow().table.as_ref().map(|table| table.limits()).unwrap_or_default();
@@ -114,7 +114,7 @@
         };
         let (entry, metrics) = (Rc::clone(&entry), metrics.clone());
         tokio::task::spawn_local(async move {
-            if let Err(error) = connection::tune(&stream) {
+            if let Err(error) = connection::set_socket_options(&stream) {
                 log::debug!("event=tune_refused error=\"{error}\"");
             }
             let service = service_fn(move |request| {
--- a/crates/ochreyard-direct/src/signals.rs
+++ b/crates/ochreyard-direct/src/signals.rs
@@ -8,7 +8,7 @@
 
 use crate::dialect::{Dialect, HeaderNames};
 use crate::entry::Entry;
-use crate::peers::tell_all;
+use crate::peers::broadcast;
 
 /// Statuses with which an endpoint may ask for a pause.
 const BACKOFF_STATUSES: [StatusCode; 2] = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
@@ -66,6 +66,6 @@
     if is_limit_news {
         let news = entry.state.borrow().pool.limit_news_of(pick, now_ms);
         entry.log_limits(&news.limits, "answer");
-        tell_all(entry, &news);
+        broadcast(entry, &news);
     }
 }
--- a/crates/ochreyard-direct/src/heard.rs
+++ b/crates/ochreyard-direct/src/sync_cursor.rs
@@ -4,9 +4,10 @@
 
 /// How much of what another box tells step by step is known here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Heard {
+pub struct SyncCursor {
     /// The life of the other box: in another life it counts anew.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Records of its list of boxes, in the order in which it learned them.
     pub boxes: usize,
     /// Changes of what it knows of requests that crash endpoints.
--- a/crates/ochreyard-entry/src/quarantine.rs
+++ b/crates/ochreyard-entry/src/quarantine.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use miette::{IntoDiagnostic, Result, WrapErr};
 use ochreyard_core::direct::{Fingerprint, Judged};
-use ochreyard_direct::{CallLink, QUARANTINE_PATH, RELEASE_PATH};
+use ochreyard_direct::{HttpClient, QUARANTINE_PATH, RELEASE_PATH};
 
 use crate::flags;
 
@@ -66,7 +66,7 @@
 fn call(peer: SocketAddr, request: http::request::Builder, body: Bytes) -> Result<Response<Bytes>> {
     let request = request.header(http::header::HOST, peer.to_string()).body(Full::from(body)).into_diagnostic()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
-    let link = CallLink::new(peer);
+    let link = HttpClient::new(peer);
     let called = tokio::task::LocalSet::new().block_on(&runtime, link.call(request, TIMEOUT));
     called.map_err(|error| miette::miette!("{peer} gave no answer: {error}; name a running entry's `peer_addr`"))
 }
--- a/crates/ochreyard-lead/src/found_rank.rs
+++ b/crates/ochreyard-lead/src/found_rank.rs
@@ -6,7 +6,7 @@
 
 use futures::future::join_all;
 use ochreyard_core::group_map::{LeaderId, RankView};
-use ochreyard_direct::{CallLink, Dialect, Entry};
+use ochreyard_direct::{Dialect, Entry, HttpClient};
 use ochreyard_rank::{Looked, RANK_PATH};
 
 use crate::engine_at::EngineAt;
@@ -20,7 +20,7 @@
     /// Where its engine is.
     pub engine: EngineAt,
     /// The connection to its agent.
-    pub link: Rc<CallLink>,
+    pub link: Rc<HttpClient>,
     /// Its view.
     pub view: RankView,
     /// Who leads the group, as far as its agent knows.
@@ -32,7 +32,7 @@
 pub async fn look_at<D: Dialect>(entry: &Entry<D>, engines: Vec<EngineAt>) -> Vec<FoundRank> {
     let port = entry.identity.record.addr.port();
     let asked = engines.into_iter().map(|engine| async move {
-        let link = Rc::new(CallLink::new(SocketAddr::new(engine.addr.ip(), port)));
+        let link = Rc::new(HttpClient::new(SocketAddr::new(engine.addr.ip(), port)));
         let looked = look(&link).await?;
         Some(FoundRank { engine, link, view: looked.view?, holder: looked.holder })
     });
@@ -40,7 +40,7 @@
 }
 
 /// Asks one agent what it sees; `None` where no readable answer comes in time.
-pub async fn look(link: &CallLink) -> Option<Looked> {
+pub async fn look(link: &HttpClient) -> Option<Looked> {
     match link.get(RANK_PATH, LOOK_TIMEOUT).await {
         Ok(response) => serde_json::from_slice(response.body()).ok(),
         Err(error) => {
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -68,7 +68,7 @@
 impl<D: Dialect, S: Engines> Leader<D, S> {
     /// A leader that has asked nobody yet.
     pub fn new(entry: Rc<Entry<D>>, engines: S, service: &str, members: Members, settings: LeaderSettings) -> Self {
-        let me = LeaderId { life: entry.draw() };
+        let me = LeaderId { life: entry.next_random() };
         // Any rank will do; leaders that follow each other take different ones.
         let hold_rank = usize::try_from(me.life % members.size.max(1) as u64).unwrap_or(0);
         Self {
--- a/crates/ochreyard-lead/src/members.rs
+++ b/crates/ochreyard-lead/src/members.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use ochreyard_core::group_map::RankView;
-use ochreyard_direct::CallLink;
+use ochreyard_direct::HttpClient;
 
 use crate::engine_at::EngineAt;
 use crate::found_rank::FoundRank;
@@ -15,7 +15,7 @@
     /// Where its engine is.
     pub engine: EngineAt,
     /// The connection to its agent.
-    pub link: Rc<CallLink>,
+    pub link: Rc<HttpClient>,
     /// Number of the map that its agent knows.
     pub knows_map: Option<u64>,
 }
--- a/crates/ochreyard-lead/src/questions.rs
+++ b/crates/ochreyard-lead/src/questions.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ochreyard_core::group_map::{RankView, SentOrder};
-use ochreyard_direct::CallLink;
+use ochreyard_direct::HttpClient;
 use ochreyard_rank::{Ask, RANK_PATH, RankEngine, Told};
 
 /// Longest wait for an agent's answer: its engine's answers and a few round trips.
@@ -24,7 +24,7 @@
 }
 
 /// Asks a rank's agent; where it does not answer, its engine, if one is given.
-pub async fn ask_member<E: RankEngine>(link: Rc<CallLink>, question: Question, engine: Option<E>) -> Option<Told> {
+pub async fn ask_member<E: RankEngine>(link: Rc<HttpClient>, question: Question, engine: Option<E>) -> Option<Told> {
     let agent_addr = link.addr();
     let told = ask_agent(link, question.ask, question.asked_at_once).await;
     let Some(engine) = engine.filter(|_| told.is_none()) else { return told };
@@ -42,7 +42,7 @@
 
 /// Asks an agent, one of several that are asked at once; `None` where no readable
 /// answer comes in time.
-pub async fn ask_agent(link: Rc<CallLink>, ask: Ask, asked_at_once: usize) -> Option<Told> {
+pub async fn ask_agent(link: Rc<HttpClient>, ask: Ask, asked_at_once: usize) -> Option<Told> {
     let bytes: usize = ask.orders.iter().map(|sent| sent.order.size_hint()).sum();
     let on_link = Duration::from_millis((bytes * asked_at_once / LINK_BYTES_PER_MS) as u64);
     match link.post(RANK_PATH, &ask, ASK_TIMEOUT + on_link).await {
--- a/crates/ochreyard-lead/src/teller.rs
+++ b/crates/ochreyard-lead/src/teller.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use ochreyard_core::direct::{GroupNews, RosterLoads};
-use ochreyard_direct::{Dialect, Entry, tell_all};
+use ochreyard_direct::{Dialect, Entry, broadcast};
 
 /// How often entries are told while nothing changes: a few times within the time
 /// for which they believe it. In milliseconds.
@@ -42,11 +42,11 @@
     pub fn tell(&mut self, news: &GroupNews) -> bool {
         self.told_ms = self.entry.clock.now_ms();
         let is_change = self.told_serving.replace(news.is_serving) != Some(news.is_serving);
-        self.entry.take_group_news(news);
+        self.entry.apply_group_update(news);
         if is_change || self.must_name(news) {
-            tell_all(&self.entry, news);
+            broadcast(&self.entry, news);
         } else {
-            tell_all(&self.entry, &news.without_names());
+            broadcast(&self.entry, &news.without_names());
         }
         is_change
     }
--- a/crates/ochreyard-rank/src/server.rs
+++ b/crates/ochreyard-rank/src/server.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use ochreyard_direct::tune;
+use ochreyard_direct::set_socket_options;
 use serde::Serialize;
 use tokio::net::TcpListener;
 
@@ -33,7 +33,7 @@
         };
         let agent = Rc::clone(&agent);
         tokio::task::spawn_local(async move {
-            if let Err(error) = tune(&stream) {
+            if let Err(error) = set_socket_options(&stream) {
                 log::debug!("event=tune_refused error=\"{error}\"");
             }
             let service = service_fn(move |request| {
