--- a/crates/ochreyard-agent/src/admission_actor.rs
+++ b/crates/ochreyard-agent/src/admission_actor.rs
@@ -5,7 +5,7 @@
 
 use kameo::Actor;
 use kameo::message::{Context, Message};
-use ochreyard_core::admission::{Admission, AdmissionAction, KeptAnswer, Offer, Outcome, RevokeAnswer};
+use ochreyard_core::admission::{Admission, AdmissionAction, Offer, Outcome, RevokeAnswer, StoredAnswer};
 use ochreyard_core::config::Configuration;
 use ochreyard_core::error_kind::Refusal;
 use ochreyard_core::ids::{AttemptId, Incarnation};
@@ -21,7 +21,7 @@
     /// A final refusal.
     Refused(Refusal),
     /// The answer of an earlier run.
-    Replay(Arc<KeptAnswer>),
+    Replay(Arc<StoredAnswer>),
     /// The same attempt has arrived before.
     Repeated,
 }
@@ -53,7 +53,7 @@
                     self.rule(attempt, Ruling::Refused(refusal));
                 }
                 AdmissionAction::Replay { attempt, answer } => self.rule(attempt, Ruling::Replay(answer)),
-                AdmissionAction::Repeated(attempt) => self.rule(attempt, Ruling::Repeated),
+                AdmissionAction::Duplicate(attempt) => self.rule(attempt, Ruling::Repeated),
                 AdmissionAction::Stop(attempt) => {
                     if let Some(stop) = self.stops.get(&attempt) {
                         stop.notify_one();
@@ -92,7 +92,7 @@
         let attempt = offer.attempt;
         let now_ms = self.clock.now_ms();
         let actions = self.admission.offer(offer, now_ms);
-        if actions == [AdmissionAction::Repeated(attempt)] {
+        if actions == [AdmissionAction::Duplicate(attempt)] {
             // The first arrival keeps its place; only this message is answered.
             let _ = reply.send(Ruling::Repeated);
             return ruling;
--- a/crates/ochreyard-agent/src/call.rs
+++ b/crates/ochreyard-agent/src/call.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use kameo::actor::ActorRef;
-use ochreyard_core::admission::{KeptAnswer, Offer, Outcome, RevokeAnswer};
+use ochreyard_core::admission::{Offer, Outcome, RevokeAnswer, StoredAnswer};
 use ochreyard_core::config::{Configuration, Delta};
-use ochreyard_core::error_kind::{ErrorKind, Refusal, Run};
+use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::frame::{Frame, FrameBody, FrameWriter};
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use ochreyard_core::membership::AgentReport;
@@ -75,7 +75,7 @@
             Ok(Ruling::Start(stop)) => self.run(&call, frames, &stop).await,
             Ok(Ruling::Refused(refusal)) => CallEnd::Refused(refusal),
             Ok(Ruling::Replay(answer)) => replay(attempt, &answer, &frames).await,
-            Ok(Ruling::Repeated) => CallEnd::Refused(Refusal::new(ErrorKind::Revoked).with_run(Run::MayHaveRun)),
+            Ok(Ruling::Repeated) => CallEnd::Refused(Refusal::new(ErrorKind::Revoked).with_run(RunStatus::MayHaveRun)),
             Err(_) => lost_actor(),
         }
     }
@@ -91,7 +91,7 @@
 
 /// How the part of a call between endpoint and entry ended.
 enum Streamed {
-    Whole(Option<Arc<KeptAnswer>>),
+    Whole(Option<Arc<StoredAnswer>>),
     CallerGone,
     Failed(EndpointError),
 }
@@ -182,7 +182,7 @@
         Ok(Streamed::Failed(error)) => {
             log::warn!("event=endpoint_call_failed attempt={} kind={} error=\"{error}\"", offer.attempt, error.kind());
             let refusal = Refusal::new(error.kind());
-            let ran = refusal.run != Run::NotRun;
+            let ran = refusal.run != RunStatus::NotRun;
             let outcome = if ran { Outcome::may_have_run(cost) } else { Outcome::not_run() };
             (outcome, CallEnd::Refused(refusal))
         }
@@ -190,13 +190,13 @@
     }
 }
 
-async fn replay(attempt: AttemptId, answer: &KeptAnswer, frames: &mpsc::Sender<Frame>) -> CallEnd {
+async fn replay(attempt: AttemptId, answer: &StoredAnswer, frames: &mpsc::Sender<Frame>) -> CallEnd {
     let mut writer = FrameWriter::new(attempt);
     let head = FrameBody::Head { status: answer.status, content_type: answer.content_type.clone() };
     let bodies = [head, FrameBody::Data(answer.body.clone())];
     for body in bodies {
         if frames.send(writer.frame(body)).await.is_err() {
-            return CallEnd::Refused(Refusal::new(ErrorKind::CallerGone).with_run(Run::Ran));
+            return CallEnd::Refused(Refusal::new(ErrorKind::CallerGone).with_run(RunStatus::Ran));
         }
     }
     let _ = frames.send(writer.end()).await;
@@ -205,12 +205,13 @@
 
 /// Collects the answer to a key, while it is small enough to keep.
 struct Keeper {
-    answer: Option<KeptAnswer>,
+    answer: Option<StoredAnswer>,
 }
 
 impl Keeper {
     fn new(answer: &EndpointAnswer, offer: &Offer) -> Self {
-        let kept = || KeptAnswer { status: answer.status, content_type: answer.content_type.clone(), body: Vec::new() };
+        let kept =
+            || StoredAnswer { status: answer.status, content_type: answer.content_type.clone(), body: Vec::new() };
         Self { answer: offer.key.is_some().then(kept) }
     }
 
@@ -223,7 +224,7 @@
         }
     }
 
-    fn done(self) -> Option<Arc<KeptAnswer>> {
+    fn done(self) -> Option<Arc<StoredAnswer>> {
         self.answer.map(Arc::new)
     }
 }
--- a/crates/ochreyard-caller/src/answer.rs
+++ b/crates/ochreyard-caller/src/answer.rs
@@ -3,7 +3,7 @@
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode, header};
 use bytes::Bytes;
-use ochreyard_core::error_kind::{Refusal, Run};
+use ochreyard_core::error_kind::{Refusal, RunStatus};
 use tokio::sync::mpsc;
 
 /// Header that says what is known about the run.
@@ -69,7 +69,7 @@
     };
     let mut response = Response::new(Body::from_stream(body));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    response.headers_mut().insert(RUN, HeaderValue::from_static(Run::Ran.as_str()));
+    response.headers_mut().insert(RUN, HeaderValue::from_static(RunStatus::Ran.as_str()));
     if let Some(value) = HeaderValue::from_str(&content_type).ok().filter(|v| !v.is_empty()) {
         response.headers_mut().insert(header::CONTENT_TYPE, value);
     }
--- a/crates/ochreyard-core/examples/state_size.rs
+++ b/crates/ochreyard-core/examples/state_size.rs
@@ -5,11 +5,11 @@
 use std::time::Instant;
 
 use ochreyard_core::config::{
-    Change, Configuration, ConfirmedPlan, EndpointSpec, Holding, PlaceSpec, Role, ServiceKind, ServiceSpec,
+    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec,
     WorkspaceSpec,
 };
 use ochreyard_core::hash::sha256_hex;
-use ochreyard_core::home::{HomeAnswer, key_hash};
+use ochreyard_core::home::{KeyHome, key_hash};
 
 const WORKSPACES: usize = 360;
 const MODELS: usize = 24;
@@ -21,13 +21,13 @@
     ServiceSpec { service: format!("model-{number}").into(), kind, first_byte_ms: 620, objective_permille: 950 }
 }
 
-fn place(number: usize) -> PlaceSpec {
+fn place(number: usize) -> DataCentreSpec {
     let holding = |model| Holding {
         service: format!("model-{model}").into(),
         model_versions: ["v1".to_owned()].into(),
         roles: [Role::Mixed].into(),
     };
-    PlaceSpec { data_centre: format!("dc-{number}").into(), may_hold: (0..MODELS).map(holding).collect() }
+    DataCentreSpec { data_centre: format!("dc-{number}").into(), may_hold: (0..MODELS).map(holding).collect() }
 }
 
 fn workspace(number: usize) -> WorkspaceSpec {
@@ -55,7 +55,7 @@
 fn main() {
     let change = Change {
         services: (0..MODELS).map(service).collect(),
-        places: (0..PLACES).map(place).collect(),
+        data_centres: (0..PLACES).map(place).collect(),
         workspaces: (0..WORKSPACES).map(workspace).collect(),
         endpoints: (0..GROUPS).map(endpoint).collect(),
         ..Change::default()
@@ -80,7 +80,7 @@
     let started = Instant::now();
     let keys = 10_000;
     let at_home = (0..keys)
-        .filter(|key| matches!(view.home_of(key_hash("workspace-1", "model-1", &key.to_string())), HomeAnswer::At(_)))
+        .filter(|key| matches!(view.home_of(key_hash("workspace-1", "model-1", &key.to_string())), KeyHome::At(_)))
         .count();
     let home_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(keys);
     println!(
--- a/crates/ochreyard-core/src/admission.rs
+++ b/crates/ochreyard-core/src/admission.rs
@@ -14,14 +14,14 @@
 use std::sync::Arc;
 
 use crate::config::{Configuration, EndpointSpec, WorkspaceSpec};
-use crate::error_kind::{ErrorKind, Refusal, Run};
-use crate::home::{HomeAnswer, key_hash};
+use crate::error_kind::{ErrorKind, Refusal, RunStatus};
+use crate::home::{KeyHome, key_hash};
 use crate::ids::{AttemptId, Incarnation};
 
 pub use attempt_log::{AttemptLog, AttemptState, RevokeAnswer};
-pub use fair_queue::{FairQueue, Waiting};
-pub use key_store::{KeptAnswer, KeyClock, KeyId, KeyOutcome, KeyStore, KeyVerdict, key_date_ms};
-pub use offer::{Offer, OfferKey, Outcome};
+pub use fair_queue::{FairQueue, QueuedOffer};
+pub use key_store::{KeyHistory, KeyId, KeyLookup, KeyOutcome, KeyStore, StoredAnswer, uuid_v7_timestamp_ms};
+pub use offer::{IdempotencyKey, Offer, Outcome};
 pub use settings::AdmissionSettings;
 
 /// What the shell is to do after an event.
@@ -41,12 +41,12 @@
         /// The attempt.
         attempt: AttemptId,
         /// The answer.
-        answer: Arc<KeptAnswer>,
+        answer: Arc<StoredAnswer>,
     },
     /// Stop the call of this attempt at the endpoint.
     Stop(AttemptId),
     /// This very attempt has arrived before: drop the message, claim nothing.
-    Repeated(AttemptId),
+    Duplicate(AttemptId),
 }
 
 #[derive(Debug, Clone)]
@@ -159,7 +159,7 @@
         }
         self.tail_verified = true;
         // Until now an old home may have run keys that this agent knows nothing of.
-        self.keys.remember_from(now_ms);
+        self.keys.set_complete_since(now_ms);
     }
 
     /// Puts a configuration in force, unless it is older than the present one.
@@ -170,7 +170,7 @@
         if let Some(old) = &self.config {
             let service = self.settings.service_of(&config);
             let unchanged = service.as_ref().is_some_and(|service| old.has_same_homes(&config, service));
-            self.keys.note_homes(old, service.filter(|_| !unchanged), now_ms);
+            self.keys.record_previous_homes(old, service.filter(|_| !unchanged), now_ms);
         }
         self.config = Some(config);
         let mut actions = self.refuse_waiting_without_permission();
@@ -181,13 +181,13 @@
     /// Takes an offer from an entry.
     pub fn offer(&mut self, offer: Offer, now_ms: u64) -> Vec<AdmissionAction> {
         let attempt = offer.attempt;
-        if offer.to != self.incarnation {
+        if offer.agent_incarnation != self.incarnation {
             // It was meant for an earlier life, which may have run it.
-            let refusal = Refusal::new(ErrorKind::Stale).with_run(Run::MayHaveRun);
+            let refusal = Refusal::new(ErrorKind::Stale).with_run(RunStatus::MayHaveRun);
             return vec![AdmissionAction::Refuse { attempt, refusal }];
         }
         if !self.attempts.is_new(attempt) {
-            return vec![AdmissionAction::Repeated(attempt)];
+            return vec![AdmissionAction::Duplicate(attempt)];
         }
         match self.judge(&offer, now_ms) {
             Ok(None) => self.admit(offer, now_ms),
@@ -207,10 +207,10 @@
         self.attempts.set(attempt, AttemptState::Closed);
         let took_ms = now_ms.saturating_sub(running.started_ms);
         self.mean_run_ms = if self.mean_run_ms == 0 { took_ms } else { (self.mean_run_ms * 7 + took_ms) / 8 };
-        self.queue.correct(&running.offer.workspace, running.offer.cost, outcome.cost);
+        self.queue.settle_cost(&running.offer.workspace, running.offer.cost, outcome.cost);
         if let Some(key) = running.offer.key_id() {
             let outcome = self.keepable(&running.offer, outcome);
-            self.keys.finish(&key, outcome, now_ms);
+            self.keys.finish_run(&key, outcome, now_ms);
         }
         self.fill_slots(now_ms)
     }
@@ -252,15 +252,16 @@
     }
 
     /// The endpoint takes new work again, for example after a change of role.
-    pub fn stay(&mut self) {
+    pub fn cancel_leaving(&mut self) {
         self.leaving = false;
     }
 
     /// Time passes: what waits beyond its deadline gets its final answer.
     pub fn tick(&mut self, now_ms: u64) -> Vec<AdmissionAction> {
         self.keys.expire(now_ms);
-        let late = self.queue.take_late(now_ms);
-        let refusal = |me: &Self| Refusal::new(ErrorKind::DeadlineBeforeStart).with_retry_after_ms(me.drain_ms());
+        let late = self.queue.take_expired(now_ms);
+        let refusal =
+            |me: &Self| Refusal::new(ErrorKind::DeadlineBeforeStart).with_retry_after_ms(me.predicted_queue_wait_ms());
         late.into_iter()
             .map(|w| {
                 let refusal = refusal(self);
@@ -271,7 +272,7 @@
 
     /// Predicted time until what waits has started, in milliseconds.
     #[must_use]
-    pub fn drain_ms(&self) -> u64 {
+    pub fn predicted_queue_wait_ms(&self) -> u64 {
         let ahead = self.queue.len() as u64 + 1;
         let per_slot = ahead.div_ceil(u64::from(self.slots().max(1)));
         (per_slot * self.mean_run_ms).max(self.settings.min_retry_after_ms)
@@ -305,9 +306,10 @@
     }
 
     /// Says whether the offer may run; an answer that was kept is returned in its place.
-    fn judge(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<KeptAnswer>>, Refusal> {
+    fn judge(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
         // Before the key has been looked up, nothing is known about its earlier runs.
-        let unproved = |refusal: Refusal| if offer.key.is_some() { refusal.with_run(Run::MayHaveRun) } else { refusal };
+        let unproved =
+            |refusal: Refusal| if offer.key.is_some() { refusal.with_run(RunStatus::MayHaveRun) } else { refusal };
         self.check_permission(offer).map_err(unproved)?;
         if let Some(answer) = self.judge_key(offer, now_ms)? {
             return Ok(Some(answer));
@@ -319,23 +321,23 @@
         Ok(None)
     }
 
-    fn judge_key(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<KeptAnswer>>, Refusal> {
+    fn judge_key(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
         let (Some(key), Some(id)) = (&offer.key, offer.key_id()) else {
             return Ok(None);
         };
-        let unproved = |kind: ErrorKind| Refusal::new(kind).with_run(Run::MayHaveRun);
+        let unproved = |kind: ErrorKind| Refusal::new(kind).with_run(RunStatus::MayHaveRun);
         let Some(config) = self.config.as_ref().filter(|_| self.tail_verified) else {
             return Err(unproved(ErrorKind::Stale).with_detail("no entry has shown this agent the end of the log yet"));
         };
         let hash = key_hash(offer.workspace.as_str(), offer.service.as_str(), &key.key);
         let home = config.home_view(&offer.workspace, &offer.service).home_of(hash);
-        if home != HomeAnswer::At(self.settings.endpoint.clone()) {
+        if home != KeyHome::At(self.settings.endpoint.clone()) {
             return Err(unproved(ErrorKind::KeyHomeMoving));
         }
         match self.keys.look_up(&id, key, hash, now_ms) {
-            KeyVerdict::Fresh => Ok(None),
-            KeyVerdict::Kept(answer) => Ok(Some(answer)),
-            KeyVerdict::Refused(refusal) => Err(refusal),
+            KeyLookup::New => Ok(None),
+            KeyLookup::Answered(answer) => Ok(Some(answer)),
+            KeyLookup::Refused(refusal) => Err(refusal),
         }
     }
 
@@ -344,23 +346,23 @@
         if free && self.queue.is_empty() {
             return Ok(());
         }
-        let overloaded = Refusal::new(ErrorKind::Overloaded).with_retry_after_ms(self.drain_ms());
+        let overloaded = Refusal::new(ErrorKind::Overloaded).with_retry_after_ms(self.predicted_queue_wait_ms());
         if !self.may_keep(offer) {
             return Err(overloaded.with_detail("the workspace's data may not wait in this data centre"));
         }
-        if offer.remaining_ms <= self.drain_ms() && self.mean_run_ms > 0 {
+        if offer.remaining_ms <= self.predicted_queue_wait_ms() && self.mean_run_ms > 0 {
             return Err(overloaded.with_detail("it would wait past its deadline"));
         }
-        self.queue.check_room(&offer.workspace).map_err(|kind| overloaded_as(kind, self.drain_ms()))
+        self.queue.check_room(&offer.workspace).map_err(|kind| overloaded_as(kind, self.predicted_queue_wait_ms()))
     }
 
     fn admit(&mut self, offer: Offer, now_ms: u64) -> Vec<AdmissionAction> {
         if let (Some(id), Some(key)) = (offer.key_id(), &offer.key) {
-            self.keys.begin(id, key.fingerprint);
+            self.keys.start_run(id, key.fingerprint);
         }
         self.attempts.set(offer.attempt, AttemptState::Waiting);
         let deadline_ms = now_ms.saturating_add(offer.remaining_ms);
-        self.queue.push(Waiting { offer, deadline_ms });
+        self.queue.push(QueuedOffer { offer, deadline_ms });
         self.fill_slots(now_ms)
     }
 
@@ -377,7 +379,7 @@
     }
 
     fn refuse_waiting_without_permission(&mut self) -> Vec<AdmissionAction> {
-        let (kept, lost): (Vec<Waiting>, Vec<Waiting>) = self
+        let (kept, lost): (Vec<QueuedOffer>, Vec<QueuedOffer>) = self
             .queue
             .take_all()
             .into_iter()
@@ -393,7 +395,7 @@
 
     fn give_back_key(&mut self, offer: &Offer) {
         if let Some(id) = offer.key_id() {
-            self.keys.give_back(&id);
+            self.keys.release(&id);
         }
     }
 
--- a/crates/ochreyard-core/src/admission/fair_queue.rs
+++ b/crates/ochreyard-core/src/admission/fair_queue.rs
@@ -14,7 +14,7 @@
 
 /// An offer that waits.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Waiting {
+pub struct QueuedOffer {
     /// The offer.
     pub offer: Offer,
     /// When it is too late to start, in milliseconds.
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct Lane {
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<QueuedOffer>,
     deficit: i64,
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Adds an offer.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedOffer) {
         let workspace = waiting.offer.workspace.clone();
         let lane = self.lanes.entry(workspace.clone()).or_default();
         if lane.waiting.is_empty() {
@@ -92,7 +92,7 @@
     }
 
     /// Takes the offer whose turn it is.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    pub fn pop(&mut self) -> Option<QueuedOffer> {
         loop {
             let workspace = self.round.front()?.clone();
             let lane = self.lanes.get_mut(&workspace)?;
@@ -114,14 +114,14 @@
     }
 
     /// Charges a workspace the difference between predicted and real work.
-    pub fn correct(&mut self, workspace: &WorkspaceId, predicted: u64, real: u64) {
+    pub fn settle_cost(&mut self, workspace: &WorkspaceId, predicted: u64, real: u64) {
         let Some(lane) = self.lanes.get_mut(workspace) else { return };
         lane.deficit = (lane.deficit + signed(predicted) - signed(real)).clamp(-MAX_DEBT, MAX_DEBT);
     }
 
     /// Takes out one offer.
-    pub fn remove(&mut self, attempt: AttemptId) -> Option<Waiting> {
-        let is_it = |w: &Waiting| w.offer.attempt == attempt;
+    pub fn remove(&mut self, attempt: AttemptId) -> Option<QueuedOffer> {
+        let is_it = |w: &QueuedOffer| w.offer.attempt == attempt;
         let workspace = self.lanes.iter().find(|(_, lane)| lane.waiting.iter().any(is_it))?.0.clone();
         let lane = self.lanes.get_mut(&workspace)?;
         let at = lane.waiting.iter().position(is_it)?;
@@ -132,7 +132,7 @@
     }
 
     /// Takes out all offers whose deadline has passed.
-    pub fn take_late(&mut self, now_ms: u64) -> Vec<Waiting> {
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<QueuedOffer> {
         let late: Vec<AttemptId> = self
             .lanes
             .values()
@@ -144,7 +144,7 @@
     }
 
     /// Takes out all offers, lane by lane.
-    pub fn take_all(&mut self) -> Vec<Waiting> {
+    pub fn take_all(&mut self) -> Vec<QueuedOffer> {
         self.round.clear();
         self.front_was_credited = false;
         self.len = 0;
--- a/crates/ochreyard-core/src/admission/key_store.rs
+++ b/crates/ochreyard-core/src/admission/key_store.rs
@@ -6,11 +6,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::offer::OfferKey;
+use super::offer::IdempotencyKey;
 use super::settings::AdmissionSettings;
 use crate::config::Configuration;
-use crate::error_kind::{ErrorKind, Refusal, Run};
-use crate::home::HomeAnswer;
+use crate::error_kind::{ErrorKind, Refusal, RunStatus};
+use crate::home::KeyHome;
 use crate::ids::{EndpointId, ServiceId, WorkspaceId};
 
 /// A key within its workspace and service.
@@ -26,7 +26,7 @@
 
 /// A whole answer that is kept for a repeat of the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`.
@@ -39,50 +39,51 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyOutcome {
     /// What is known about the run.
-    pub run: Run,
+    pub run: RunStatus,
     /// The answer, where it may be kept.
-    pub answer: Option<Arc<KeptAnswer>>,
+    pub answer: Option<Arc<StoredAnswer>>,
 }
 
 /// What the store says about a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum KeyVerdict {
+pub enum KeyLookup {
     /// It has not run here and cannot have run elsewhere.
-    Fresh,
+    New,
     /// It ran; this is its answer.
-    Kept(Arc<KeptAnswer>),
+    Answered(Arc<StoredAnswer>),
     /// It must not run.
     Refused(Refusal),
 }
 
 /// Since when this agent would know of a run, and by how much clocks may differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KeyClock {
+pub struct KeyHistory {
     /// Since when the agent has been the key's home without a break, in ms since 1970.
     pub home_since_ms: u64,
     /// How long outcomes are kept, in milliseconds.
-    pub window_ms: u64,
+    pub retention_ms: u64,
     /// By how much clocks may differ, in milliseconds.
-    pub margin_ms: u64,
+    pub clock_margin_ms: u64,
 }
 
-impl KeyClock {
+impl KeyHistory {
     /// Whether a key that is not remembered cannot have run before.
     #[must_use]
     pub fn rules_out_earlier_run(&self, key: &str, now_ms: u64) -> bool {
-        match key_date_ms(key) {
+        match uuid_v7_timestamp_ms(key) {
             Some(made_ms) => {
-                let forgotten = made_ms.saturating_add(self.window_ms) <= now_ms.saturating_add(self.margin_ms);
-                made_ms > self.home_since_ms.saturating_add(self.margin_ms) && !forgotten
+                let forgotten =
+                    made_ms.saturating_add(self.retention_ms) <= now_ms.saturating_add(self.clock_margin_ms);
+                made_ms > self.home_since_ms.saturating_add(self.clock_margin_ms) && !forgotten
             }
-            None => now_ms >= self.home_since_ms.saturating_add(self.window_ms),
+            None => now_ms >= self.home_since_ms.saturating_add(self.retention_ms),
         }
     }
 }
 
 /// The time inside a UUID of version 7, in milliseconds since 1970.
 #[must_use]
-pub fn key_date_ms(key: &str) -> Option<u64> {
+pub fn uuid_v7_timestamp_ms(key: &str) -> Option<u64> {
     const UUID_CHARS: usize = 36;
     const VERSION_AT: usize = 14;
     let dashes_fit = key.len() == UUID_CHARS
@@ -124,8 +125,8 @@
     agent_addr: SocketAddr,
     /// Nothing is known of runs before this.
     remembers_from_ms: u64,
-    window_ms: u64,
-    margin_ms: u64,
+    retention_ms: u64,
+    clock_margin_ms: u64,
     max_keys: usize,
     kept: BTreeMap<KeyId, Kept>,
     done_order: VecDeque<(u64, KeyId)>,
@@ -140,8 +141,8 @@
             endpoint: settings.endpoint.clone(),
             agent_addr: settings.agent_addr,
             remembers_from_ms: now_ms,
-            window_ms: settings.key_window_ms,
-            margin_ms: settings.clock_margin_ms,
+            retention_ms: settings.key_window_ms,
+            clock_margin_ms: settings.clock_margin_ms,
             max_keys: settings.max_keys,
             kept: BTreeMap::new(),
             done_order: VecDeque::new(),
@@ -162,13 +163,13 @@
     }
 
     /// Counts this store's memory from `now_ms` on.
-    pub fn remember_from(&mut self, now_ms: u64) {
+    pub fn set_complete_since(&mut self, now_ms: u64) {
         self.remembers_from_ms = self.remembers_from_ms.max(now_ms);
     }
 
     /// Remembers the configuration that is being replaced, to know later since
     /// when this agent has been the home of a key.
-    pub fn note_homes(&mut self, old: &Arc<Configuration>, service: Option<ServiceId>, now_ms: u64) {
+    pub fn record_previous_homes(&mut self, old: &Arc<Configuration>, service: Option<ServiceId>, now_ms: u64) {
         let Some(service) = service else { return };
         let is_here = old.endpoint(&self.endpoint).is_some_and(|spec| spec.agent_addr == self.agent_addr);
         self.past_homes.push_back(PastHomes { until_ms: now_ms, service, is_here, config: Arc::clone(old) });
@@ -177,57 +178,57 @@
 
     /// Says what is known about a key.
     #[must_use]
-    pub fn look_up(&self, id: &KeyId, key: &OfferKey, hash: u64, now_ms: u64) -> KeyVerdict {
+    pub fn look_up(&self, id: &KeyId, key: &IdempotencyKey, hash: u64, now_ms: u64) -> KeyLookup {
         if let Some(kept) = self.kept.get(id) {
             return kept_verdict(kept, key);
         }
         let clock = self.clock_for(id, hash);
         if !clock.rules_out_earlier_run(&key.key, now_ms) {
-            return KeyVerdict::Refused(self.unproven(&key.key, clock, now_ms));
+            return KeyLookup::Refused(self.unproven(&key.key, clock, now_ms));
         }
         if self.kept.len() >= self.max_keys {
-            return KeyVerdict::Refused(Refusal::new(ErrorKind::KeyStoreFull));
+            return KeyLookup::Refused(Refusal::new(ErrorKind::KeyStoreFull));
         }
-        KeyVerdict::Fresh
+        KeyLookup::New
     }
 
-    fn unproven(&self, key: &str, clock: KeyClock, now_ms: u64) -> Refusal {
+    fn unproven(&self, key: &str, clock: KeyHistory, now_ms: u64) -> Refusal {
         let refusal = Refusal::new(ErrorKind::KeyUnproven);
-        if key_date_ms(key).is_some() {
+        if uuid_v7_timestamp_ms(key).is_some() {
             return refusal;
         }
-        let wait_ms = clock.home_since_ms.saturating_add(self.window_ms).saturating_sub(now_ms);
+        let wait_ms = clock.home_since_ms.saturating_add(self.retention_ms).saturating_sub(now_ms);
         refusal.with_retry_after_ms(wait_ms).with_detail("a UUIDv7 as the key would not have to wait")
     }
 
     /// Since when this agent has been the home of the key without a break.
-    fn clock_for(&self, id: &KeyId, hash: u64) -> KeyClock {
+    fn clock_for(&self, id: &KeyId, hash: u64) -> KeyHistory {
         let was_elsewhere = |past: &&PastHomes| {
             let view = past.config.home_view(&id.workspace, &id.service);
-            !past.is_here || past.service != id.service || view.home_of(hash) != HomeAnswer::At(self.endpoint.clone())
+            !past.is_here || past.service != id.service || view.home_of(hash) != KeyHome::At(self.endpoint.clone())
         };
         let moved_ms = self.past_homes.iter().rev().find(was_elsewhere).map_or(0, |past| past.until_ms);
-        KeyClock {
+        KeyHistory {
             home_since_ms: self.remembers_from_ms.max(moved_ms),
-            window_ms: self.window_ms,
-            margin_ms: self.margin_ms,
+            retention_ms: self.retention_ms,
+            clock_margin_ms: self.clock_margin_ms,
         }
     }
 
     /// Notes that the key is about to run.
-    pub fn begin(&mut self, id: KeyId, fingerprint: u64) {
+    pub fn start_run(&mut self, id: KeyId, fingerprint: u64) {
         self.kept.insert(id, Kept { fingerprint, state: KeyState::Running });
     }
 
     /// Notes that the key will not run after all.
-    pub fn give_back(&mut self, id: &KeyId) {
+    pub fn release(&mut self, id: &KeyId) {
         self.kept.remove(id);
     }
 
     /// Notes how the run of the key ended.
-    pub fn finish(&mut self, id: &KeyId, outcome: KeyOutcome, now_ms: u64) {
-        if outcome.run == Run::NotRun {
-            self.give_back(id);
+    pub fn finish_run(&mut self, id: &KeyId, outcome: KeyOutcome, now_ms: u64) {
+        if outcome.run == RunStatus::NotRun {
+            self.release(id);
             return;
         }
         if let Some(kept) = self.kept.get_mut(id) {
@@ -238,7 +239,7 @@
 
     /// Forgets outcomes that are older than the window.
     pub fn expire(&mut self, now_ms: u64) {
-        let is_old = |at_ms: u64| at_ms.saturating_add(self.window_ms) <= now_ms;
+        let is_old = |at_ms: u64| at_ms.saturating_add(self.retention_ms) <= now_ms;
         while self.done_order.front().is_some_and(|(at_ms, _)| is_old(*at_ms)) {
             let Some((at_ms, id)) = self.done_order.pop_front() else { break };
             let is_that_run =
@@ -253,18 +254,18 @@
     }
 }
 
-fn kept_verdict(kept: &Kept, key: &OfferKey) -> KeyVerdict {
+fn kept_verdict(kept: &Kept, key: &IdempotencyKey) -> KeyLookup {
     if kept.fingerprint != key.fingerprint {
-        return KeyVerdict::Refused(Refusal::new(ErrorKind::KeyReused));
+        return KeyLookup::Refused(Refusal::new(ErrorKind::KeyReused));
     }
     match &kept.state {
-        KeyState::Running => KeyVerdict::Refused(Refusal::new(ErrorKind::KeyInFlight)),
-        KeyState::Done { outcome: KeyOutcome { run: Run::Ran, answer: Some(answer) }, .. } => {
-            KeyVerdict::Kept(Arc::clone(answer))
+        KeyState::Running => KeyLookup::Refused(Refusal::new(ErrorKind::KeyInFlight)),
+        KeyState::Done { outcome: KeyOutcome { run: RunStatus::Ran, answer: Some(answer) }, .. } => {
+            KeyLookup::Answered(Arc::clone(answer))
         }
-        KeyState::Done { outcome: KeyOutcome { run: Run::Ran, answer: None }, .. } => {
-            KeyVerdict::Refused(Refusal::new(ErrorKind::AlreadyRan))
+        KeyState::Done { outcome: KeyOutcome { run: RunStatus::Ran, answer: None }, .. } => {
+            KeyLookup::Refused(Refusal::new(ErrorKind::AlreadyRan))
         }
-        KeyState::Done { .. } => KeyVerdict::Refused(Refusal::new(ErrorKind::KeyUnproven)),
+        KeyState::Done { .. } => KeyLookup::Refused(Refusal::new(ErrorKind::KeyUnproven)),
     }
 }
--- a/crates/ochreyard-core/src/admission/offer.rs
+++ b/crates/ochreyard-core/src/admission/offer.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::key_store::{KeptAnswer, KeyId};
-use crate::error_kind::Run;
+use super::key_store::{KeyId, StoredAnswer};
+use crate::error_kind::RunStatus;
 use crate::ids::{AttemptId, Incarnation, ServiceId, WorkspaceId};
 
 /// The caller's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OfferKey {
+pub struct IdempotencyKey {
     /// The key as the caller wrote it.
     pub key: String,
     /// Hash of the request, to notice the same key on another request.
@@ -23,13 +23,14 @@
     /// Its identifier.
     pub attempt: AttemptId,
     /// The life of the agent that is meant.
-    pub to: Incarnation,
+    #[serde(rename = "to")]
+    pub agent_incarnation: Incarnation,
     /// The workspace that pays for it.
     pub workspace: WorkspaceId,
     /// The service that is meant.
     pub service: ServiceId,
     /// The caller's key, for a request that is not repeatable.
-    pub key: Option<OfferKey>,
+    pub key: Option<IdempotencyKey>,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Predicted work, in tokens or calls.
@@ -43,13 +44,13 @@
     #[must_use]
     pub fn new(
         attempt: AttemptId,
-        to: Incarnation,
+        agent_incarnation: Incarnation,
         workspace: impl Into<WorkspaceId>,
         service: impl Into<ServiceId>,
     ) -> Self {
         Self {
             attempt,
-            to,
+            agent_incarnation,
             workspace: workspace.into(),
             service: service.into(),
             key: None,
@@ -62,7 +63,7 @@
     /// Makes it a request that is not repeatable, under a key.
     #[must_use]
     pub fn with_key(mut self, key: impl Into<String>, fingerprint: u64) -> Self {
-        self.key = Some(OfferKey { key: key.into(), fingerprint });
+        self.key = Some(IdempotencyKey { key: key.into(), fingerprint });
         self.repeatable = false;
         self
     }
@@ -93,35 +94,35 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
     /// What is known about the run.
-    pub run: Run,
+    pub run: RunStatus,
     /// The work that it took, in the unit of [`Offer::cost`].
     pub cost: u64,
     /// The whole answer, if it is small enough to keep.
-    pub answer: Option<Arc<KeptAnswer>>,
+    pub answer: Option<Arc<StoredAnswer>>,
 }
 
 impl Outcome {
     /// An attempt that ran and took `cost`.
     #[must_use]
     pub const fn ran(cost: u64) -> Self {
-        Self { run: Run::Ran, cost, answer: None }
+        Self { run: RunStatus::Ran, cost, answer: None }
     }
 
     /// An attempt that may have run.
     #[must_use]
     pub const fn may_have_run(cost: u64) -> Self {
-        Self { run: Run::MayHaveRun, cost, answer: None }
+        Self { run: RunStatus::MayHaveRun, cost, answer: None }
     }
 
     /// An attempt that never reached the endpoint.
     #[must_use]
     pub const fn not_run() -> Self {
-        Self { run: Run::NotRun, cost: 0, answer: None }
+        Self { run: RunStatus::NotRun, cost: 0, answer: None }
     }
 
     /// Adds the answer.
     #[must_use]
-    pub fn with_answer(mut self, answer: Arc<KeptAnswer>) -> Self {
+    pub fn with_answer(mut self, answer: Arc<StoredAnswer>) -> Self {
         self.answer = Some(answer);
         self
     }
--- a/crates/ochreyard-core/src/burn.rs
+++ b/crates/ochreyard-core/src/burn.rs
@@ -13,7 +13,7 @@
 
 /// Requests and failures in one window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Tally {
+pub struct RequestCounts {
     /// All requests.
     pub requests: u32,
     /// Those that were not answered whole and in time.
@@ -24,12 +24,12 @@
 struct Window<const N: usize> {
     bucket_ms: u64,
     newest: u64,
-    buckets: [Tally; N],
+    buckets: [RequestCounts; N],
 }
 
 impl<const N: usize> Window<N> {
     const fn new(bucket_ms: u64) -> Self {
-        Self { bucket_ms, newest: 0, buckets: [Tally { requests: 0, missed: 0 }; N] }
+        Self { bucket_ms, newest: 0, buckets: [RequestCounts { requests: 0, missed: 0 }; N] }
     }
 
     fn advance(&mut self, now_ms: u64) {
@@ -37,7 +37,7 @@
         let passed = bucket.saturating_sub(self.newest).min(N as u64);
         for step in 0..passed {
             let at = (bucket - step) as usize % N;
-            self.buckets[at] = Tally::default();
+            self.buckets[at] = RequestCounts::default();
         }
         self.newest = self.newest.max(bucket);
     }
@@ -49,9 +49,9 @@
         tally.missed += u32::from(missed);
     }
 
-    fn sum(&mut self, now_ms: u64) -> Tally {
+    fn sum(&mut self, now_ms: u64) -> RequestCounts {
         self.advance(now_ms);
-        self.buckets.iter().fold(Tally::default(), |sum, t| Tally {
+        self.buckets.iter().fold(RequestCounts::default(), |sum, t| RequestCounts {
             requests: sum.requests + t.requests,
             missed: sum.missed + t.missed,
         })
@@ -81,7 +81,7 @@
 impl BurnMeter {
     /// Counts a request. `failure` is its error kind; `late` says that a whole
     /// answer missed its time.
-    pub fn count(&mut self, failure: Option<ErrorKind>, late: bool, now_ms: u64) {
+    pub fn record(&mut self, failure: Option<ErrorKind>, late: bool, now_ms: u64) {
         let missed = failure.is_some() || late;
         self.short.add(missed, now_ms);
         self.long.add(missed, now_ms);
@@ -92,12 +92,12 @@
     }
 
     /// Requests of the short window (5 minutes).
-    pub fn short(&mut self, now_ms: u64) -> Tally {
+    pub fn short_window(&mut self, now_ms: u64) -> RequestCounts {
         self.short.sum(now_ms)
     }
 
     /// Requests of the long window (an hour).
-    pub fn long(&mut self, now_ms: u64) -> Tally {
+    pub fn long_window(&mut self, now_ms: u64) -> RequestCounts {
         self.long.sum(now_ms)
     }
 
@@ -111,7 +111,7 @@
 
 /// Burn rate: 1.0 spends the budget of `objective_permille` exactly.
 #[must_use]
-pub fn burn_rate(tally: Tally, objective_permille: u64) -> f64 {
+pub fn burn_rate(tally: RequestCounts, objective_permille: u64) -> f64 {
     if tally.requests == 0 {
         return 0.0;
     }
--- a/crates/ochreyard-core/src/config.rs
+++ b/crates/ochreyard-core/src/config.rs
@@ -9,10 +9,10 @@
 mod record;
 mod spec;
 
-pub use change::{Change, ChangeFault, ObjectKey, Removal};
-pub use configuration::{Applied, Configuration, Void};
+pub use change::{Change, ChangeError, ObjectKey, Removal};
+pub use configuration::{ApplyOutcome, Configuration, VoidReason};
 pub use delta::{Delta, EffectiveRecord};
 pub use fold::{ConfigFold, FoldEvent, FoldStatus, LogPage, LogRecord};
 pub use plan::{Plan, PlanStep};
 pub use record::{ConfigRecord, ConfirmedPlan, HomeAck};
-pub use spec::{EndpointSpec, Holding, PlaceSpec, Role, ServiceKind, ServiceSpec, WorkspaceSpec};
+pub use spec::{DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec, WorkspaceSpec};
--- a/crates/ochreyard-core/src/config/change.rs
+++ b/crates/ochreyard-core/src/config/change.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::spec::{EndpointSpec, PlaceSpec, ServiceSpec, WorkspaceSpec};
+use super::spec::{DataCentreSpec, EndpointSpec, ServiceSpec, WorkspaceSpec};
 use crate::ids::{DataCentreId, EndpointId, ServiceId, WorkspaceId};
 
 /// Names one object of the configuration.
@@ -28,7 +28,7 @@
 
     /// The key of a place.
     #[must_use]
-    pub fn place(id: &DataCentreId) -> Self {
+    pub fn data_centre(id: &DataCentreId) -> Self {
         Self(format!("place/{id}"))
     }
 
@@ -66,7 +66,8 @@
     /// Workspaces to take out.
     pub workspaces: BTreeSet<WorkspaceId>,
     /// Places to take out.
-    pub places: BTreeSet<DataCentreId>,
+    #[serde(rename = "places")]
+    pub data_centres: BTreeSet<DataCentreId>,
     /// Endpoints to take out.
     pub endpoints: BTreeSet<EndpointId>,
 }
@@ -80,7 +81,8 @@
     /// Workspaces to put in or replace.
     pub workspaces: Vec<WorkspaceSpec>,
     /// Places to put in or replace.
-    pub places: Vec<PlaceSpec>,
+    #[serde(rename = "places")]
+    pub data_centres: Vec<DataCentreSpec>,
     /// Endpoints to put in or replace.
     pub endpoints: Vec<EndpointSpec>,
     /// Objects to take out.
@@ -96,11 +98,11 @@
     pub fn writes(&self) -> BTreeSet<ObjectKey> {
         let put = (self.services.iter().map(|s| ObjectKey::service(&s.service)))
             .chain(self.workspaces.iter().map(|w| ObjectKey::workspace(&w.workspace)))
-            .chain(self.places.iter().map(|p| ObjectKey::place(&p.data_centre)))
+            .chain(self.data_centres.iter().map(|p| ObjectKey::data_centre(&p.data_centre)))
             .chain(self.endpoints.iter().map(|e| ObjectKey::endpoint(&e.endpoint)));
         let removed = (self.remove.services.iter().map(ObjectKey::service))
             .chain(self.remove.workspaces.iter().map(ObjectKey::workspace))
-            .chain(self.remove.places.iter().map(ObjectKey::place))
+            .chain(self.remove.data_centres.iter().map(ObjectKey::data_centre))
             .chain(self.remove.endpoints.iter().map(ObjectKey::endpoint));
         let dead = self.stated_dead.iter().map(ObjectKey::endpoint);
         put.chain(removed).chain(dead).collect()
@@ -109,10 +111,12 @@
     /// The objects that this relies on without writing them.
     #[must_use]
     pub fn reads(&self) -> BTreeSet<ObjectKey> {
-        let of_endpoints =
-            self.endpoints.iter().flat_map(|e| [ObjectKey::service(&e.service), ObjectKey::place(&e.data_centre)]);
+        let of_endpoints = self
+            .endpoints
+            .iter()
+            .flat_map(|e| [ObjectKey::service(&e.service), ObjectKey::data_centre(&e.data_centre)]);
         let of_workspaces = self.workspaces.iter().flat_map(|w| {
-            let places = w.run_in.iter().chain(&w.keep_in).map(ObjectKey::place);
+            let places = w.run_in.iter().chain(&w.keep_in).map(ObjectKey::data_centre);
             w.services.iter().map(ObjectKey::service).chain(places)
         });
         of_endpoints.chain(of_workspaces).collect()
@@ -128,7 +132,7 @@
 /// One fault of an intent, with the field and what to do.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {problem}; {fix}")]
-pub struct ChangeFault {
+pub struct ChangeError {
     /// Which field of which object.
     pub field: String,
     /// What is wrong with it.
@@ -137,7 +141,7 @@
     pub fix: String,
 }
 
-impl ChangeFault {
+impl ChangeError {
     /// A fault in `field`.
     #[must_use]
     pub fn new(field: impl Into<String>, problem: impl Into<String>, fix: impl Into<String>) -> Self {
--- a/crates/ochreyard-core/src/config/configuration.rs
+++ b/crates/ochreyard-core/src/config/configuration.rs
@@ -7,9 +7,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::change::{Change, ChangeFault, ObjectKey};
+use super::change::{Change, ChangeError, ObjectKey};
 use super::record::{ConfirmedPlan, HomeAck};
-use super::spec::{EndpointSpec, PlaceSpec, ServiceSpec, WorkspaceSpec};
+use super::spec::{DataCentreSpec, EndpointSpec, ServiceSpec, WorkspaceSpec};
 use crate::home::{HomeMember, HomeSet, HomeView, RunInSet, member_key};
 use crate::ids::{DataCentreId, EndpointId, ServiceId, WorkspaceId};
 
@@ -19,10 +19,10 @@
 
 /// Why a confirmed plan has no effect, the same at every reader.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Void {
+pub enum VoidReason {
     /// Something that it touches changed after it was made.
     #[error("`{object}` changed at version {version}, after the plan was made")]
-    Overtaken {
+    Conflict {
         /// The object.
         object: ObjectKey,
         /// The version of the change.
@@ -33,12 +33,12 @@
     TooOld,
     /// The result would not hold together.
     #[error("{0}")]
-    Invalid(ChangeFault),
+    Invalid(ChangeError),
 }
 
 /// What a record did.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The configuration has a new version.
     Changed,
     /// Nothing changed.
@@ -52,7 +52,8 @@
     folded_to: u64,
     services: BTreeMap<ServiceId, ServiceSpec>,
     workspaces: BTreeMap<WorkspaceId, WorkspaceSpec>,
-    places: BTreeMap<DataCentreId, PlaceSpec>,
+    #[serde(rename = "places")]
+    data_centres: BTreeMap<DataCentreId, DataCentreSpec>,
     endpoints: BTreeMap<EndpointId, EndpointSpec>,
     modified: BTreeMap<ObjectKey, u64>,
     home_sets: BTreeMap<ServiceId, Vec<HomeSet>>,
@@ -101,8 +102,8 @@
 
     /// A place by name.
     #[must_use]
-    pub fn place(&self, id: &DataCentreId) -> Option<&PlaceSpec> {
-        self.places.get(id)
+    pub fn data_centre(&self, id: &DataCentreId) -> Option<&DataCentreSpec> {
+        self.data_centres.get(id)
     }
 
     /// An endpoint by name.
@@ -188,12 +189,12 @@
     ///
     /// # Errors
     ///
-    /// [`Void`] when the plan has no effect; the state is then unchanged.
-    pub fn apply(&mut self, offset: u64, plan: &ConfirmedPlan) -> Result<Applied, Void> {
+    /// [`VoidReason`] when the plan has no effect; the state is then unchanged.
+    pub fn apply(&mut self, offset: u64, plan: &ConfirmedPlan) -> Result<ApplyOutcome, VoidReason> {
         self.check_overtaken(offset, plan)?;
         let mut next = self.clone();
         next.put_and_remove(&plan.change);
-        next.validate().map_err(|mut faults| Void::Invalid(faults.swap_remove(0)))?;
+        next.validate().map_err(|mut faults| VoidReason::Invalid(faults.swap_remove(0)))?;
         let version = offset + 1;
         next.version = version;
         next.modified.extend(plan.change.writes().into_iter().map(|key| (key, version)));
@@ -201,32 +202,32 @@
         next.record_home_changes(version);
         next.forget_old_removals();
         *self = next;
-        Ok(Applied::Changed)
+        Ok(ApplyOutcome::Changed)
     }
 
-    fn check_overtaken(&self, offset: u64, plan: &ConfirmedPlan) -> Result<(), Void> {
+    fn check_overtaken(&self, offset: u64, plan: &ConfirmedPlan) -> Result<(), VoidReason> {
         if plan.base_version.saturating_add(MAX_PLAN_AGE_RECORDS) < offset {
-            return Err(Void::TooOld);
+            return Err(VoidReason::TooOld);
         }
         let touched = plan.change.writes().into_iter().chain(plan.change.reads());
         for object in touched {
             let version = self.modified.get(&object).copied().unwrap_or(0);
             if version > plan.base_version {
-                return Err(Void::Overtaken { object, version });
+                return Err(VoidReason::Conflict { object, version });
             }
         }
         Ok(())
     }
 
     fn put_and_remove(&mut self, change: &Change) {
-        let Change { services, workspaces, places, endpoints, remove, .. } = change.clone();
+        let Change { services, workspaces, data_centres, endpoints, remove, .. } = change.clone();
         self.services.extend(services.into_iter().map(|s| (s.service.clone(), s)));
         self.workspaces.extend(workspaces.into_iter().map(|w| (w.workspace.clone(), w)));
-        self.places.extend(places.into_iter().map(|p| (p.data_centre.clone(), p)));
+        self.data_centres.extend(data_centres.into_iter().map(|p| (p.data_centre.clone(), p)));
         self.endpoints.extend(endpoints.into_iter().map(|e| (e.endpoint.clone(), e)));
         self.services.retain(|id, _| !remove.services.contains(id));
         self.workspaces.retain(|id, _| !remove.workspaces.contains(id));
-        self.places.retain(|id, _| !remove.places.contains(id));
+        self.data_centres.retain(|id, _| !remove.data_centres.contains(id));
         self.endpoints.retain(|id, _| !remove.endpoints.contains(id));
     }
 
@@ -266,14 +267,14 @@
     }
 
     /// Notes which agents have which version in force, at `offset`.
-    pub fn note_home_acks(&mut self, offset: u64, acks: &[HomeAck]) -> Applied {
+    pub fn record_home_acks(&mut self, offset: u64, acks: &[HomeAck]) -> ApplyOutcome {
         for ack in acks {
             let entry = self.home_acks.entry(member_key(&ack.endpoint, ack.agent_addr)).or_default();
             *entry = ack.version.max(*entry);
         }
         self.collapse_home_sets();
         self.version = offset + 1;
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
     /// Forgets past sets that no agent can hold any more.
@@ -308,11 +309,11 @@
     fn forget_old_removals(&mut self) {
         let oldest = self.version.saturating_sub(MAX_PLAN_AGE_RECORDS);
         let (services, workspaces) = (&self.services, &self.workspaces);
-        let (places, endpoints) = (&self.places, &self.endpoints);
+        let (data_centres, endpoints) = (&self.data_centres, &self.endpoints);
         let lives = |key: &ObjectKey| match key.to_string().split_once('/') {
             Some(("service", id)) => services.contains_key(id),
             Some(("workspace", id)) => workspaces.contains_key(id),
-            Some(("place", id)) => places.contains_key(id),
+            Some(("place", id)) => data_centres.contains_key(id),
             Some(("endpoint", id)) => endpoints.contains_key(id),
             _ => false,
         };
--- a/crates/ochreyard-core/src/config/delta.rs
+++ b/crates/ochreyard-core/src/config/delta.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::configuration::{Applied, Configuration};
+use super::configuration::{ApplyOutcome, Configuration};
 use super::record::ConfigRecord;
 
 /// One record of the log that had an effect.
@@ -34,9 +34,9 @@
         }
         let mut next = base.clone();
         for EffectiveRecord { offset, record } in &self.records {
-            let _: Applied = match &**record {
+            let _: ApplyOutcome = match &**record {
                 ConfigRecord::Confirmed(plan) => next.apply(*offset, plan).ok()?,
-                ConfigRecord::HomeAcks { acks } => next.note_home_acks(*offset, acks),
+                ConfigRecord::HomeAcks { acks } => next.record_home_acks(*offset, acks),
                 _ => return None,
             };
             next.set_folded_to(offset + 1);
--- a/crates/ochreyard-core/src/config/fold.rs
+++ b/crates/ochreyard-core/src/config/fold.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use super::configuration::{Configuration, Void};
+use super::configuration::{Configuration, VoidReason};
 use super::delta::{Delta, EffectiveRecord};
 use super::record::{ConfigRecord, ConfirmedPlan};
 use crate::ids::PlanId;
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoldEvent {
     /// A new version is in force.
-    Version(u64),
+    VersionInForce(u64),
     /// A confirmed plan came into force.
     Accepted(PlanId),
     /// A confirmed plan has no effect.
-    Voided(PlanId, Void),
+    Voided(PlanId, VoidReason),
     /// A record could not be read; it counts as nothing, at every reader alike.
     Unreadable {
         /// Its offset.
@@ -51,7 +51,7 @@
         problem: String,
     },
     /// A snapshot or seed was passed over, because records that it may lack have expired.
-    SnapshotPassedOver(u64),
+    SnapshotSkipped(u64),
 }
 
 /// Whether the state can be relied on to be the log's.
@@ -82,7 +82,7 @@
     cursor: u64,
     rebase: Option<Rebase>,
     proposals: BTreeMap<PlanId, ConfirmedPlan>,
-    outcomes: BTreeMap<PlanId, Result<u64, Void>>,
+    outcomes: BTreeMap<PlanId, Result<u64, VoidReason>>,
     remembered: VecDeque<PlanId>,
     /// Records with an effect, each with the version before it.
     recent: VecDeque<(u64, EffectiveRecord)>,
@@ -131,7 +131,7 @@
 
     /// What became of a confirmed plan: its version, or why it is void.
     #[must_use]
-    pub fn outcome(&self, plan_id: &PlanId) -> Option<&Result<u64, Void>> {
+    pub fn outcome(&self, plan_id: &PlanId) -> Option<&Result<u64, VoidReason>> {
         self.outcomes.get(plan_id)
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Folds one page, which must have been read from [`Self::cursor`].
-    pub fn read(&mut self, page: &LogPage) -> Vec<FoldEvent> {
+    pub fn fold_page(&mut self, page: &LogPage) -> Vec<FoldEvent> {
         let mut events = Vec::new();
         self.notice_gap(page);
         if self.state.is_none() && self.rebase.is_none() {
@@ -174,7 +174,7 @@
             }
         }
         if self.version() != before {
-            events.push(FoldEvent::Version(self.version()));
+            events.push(FoldEvent::VersionInForce(self.version()));
         }
         events
     }
@@ -216,7 +216,7 @@
                 self.remember_outcome(&plan.plan_id, outcome);
             }
             ConfigRecord::HomeAcks { acks } => {
-                Arc::make_mut(state).note_home_acks(offset, acks);
+                Arc::make_mut(state).record_home_acks(offset, acks);
             }
             ConfigRecord::Snapshot { .. } | ConfigRecord::Seed { .. } => {}
         }
@@ -242,7 +242,7 @@
             }
             ConfigRecord::Seed { first_offset, state } if first_offset >= rebase.first_offset => (first_offset, state),
             ConfigRecord::Snapshot { .. } | ConfigRecord::Seed { .. } => {
-                events.push(FoldEvent::SnapshotPassedOver(offset));
+                events.push(FoldEvent::SnapshotSkipped(offset));
                 return;
             }
             other => {
@@ -279,7 +279,7 @@
         self.proposals.insert(plan.plan_id.clone(), plan.clone());
     }
 
-    fn remember_outcome(&mut self, plan_id: &PlanId, outcome: Result<u64, Void>) {
+    fn remember_outcome(&mut self, plan_id: &PlanId, outcome: Result<u64, VoidReason>) {
         self.remember(plan_id);
         // A repeated record of a plan that came into force is void, but the plan is in force.
         self.outcomes.entry(plan_id.clone()).or_insert(outcome);
--- a/crates/ochreyard-core/src/config/plan.rs
+++ b/crates/ochreyard-core/src/config/plan.rs
@@ -48,9 +48,13 @@
     let put = |exists: bool| if exists { "replace" } else { "add" };
     let step = |object, action: &str, endpoints| PlanStep { object, action: action.into(), endpoints };
     let mut steps = Vec::new();
-    for place in &change.places {
-        let at = base.endpoints_in(&place.data_centre);
-        steps.push(step(ObjectKey::place(&place.data_centre), put(base.place(&place.data_centre).is_some()), at));
+    for spec in &change.data_centres {
+        let at = base.endpoints_in(&spec.data_centre);
+        steps.push(step(
+            ObjectKey::data_centre(&spec.data_centre),
+            put(base.data_centre(&spec.data_centre).is_some()),
+            at,
+        ));
     }
     for service in &change.services {
         let of = base.endpoints_of(&service.service).map(|e| e.endpoint.clone()).collect();
@@ -75,8 +79,8 @@
         let of = base.endpoints_of(id).map(|e| e.endpoint.clone()).collect();
         steps.push(step(ObjectKey::service(id), "remove", of));
     }
-    for id in &change.remove.places {
-        steps.push(step(ObjectKey::place(id), "remove", base.endpoints_in(id)));
+    for id in &change.remove.data_centres {
+        steps.push(step(ObjectKey::data_centre(id), "remove", base.endpoints_in(id)));
     }
     for id in &change.stated_dead {
         steps.push(step(ObjectKey::endpoint(id), "treat as dead", vec![id.clone()]));
--- a/crates/ochreyard-core/src/config/spec.rs
+++ b/crates/ochreyard-core/src/config/spec.rs
@@ -99,14 +99,14 @@
 /// A data centre, and what its endpoints may hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PlaceSpec {
+pub struct DataCentreSpec {
     /// Its name.
     pub data_centre: DataCentreId,
     /// What may be held there.
     pub may_hold: Vec<Holding>,
 }
 
-impl PlaceSpec {
+impl DataCentreSpec {
     /// Whether an endpoint as `spec` says may stand here.
     #[must_use]
     pub fn permits(&self, spec: &EndpointSpec, kind: ServiceKind) -> bool {
--- a/crates/ochreyard-core/src/dispatch.rs
+++ b/crates/ochreyard-core/src/dispatch.rs
@@ -1,6 +1,6 @@
 //! What an entry does with one request, attempt by attempt.
 
-use crate::error_kind::{ErrorKind, Refusal, Retry, Run};
+use crate::error_kind::{ErrorKind, Refusal, Retry, RunStatus};
 use crate::ids::EndpointId;
 use crate::retry::RetryBudget;
 
@@ -9,11 +9,11 @@
 
 /// What comes next after a failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Try another endpoint.
-    TryElsewhere,
+    RetryElsewhere,
     /// Give this final answer, at once.
-    Final(Refusal),
+    GiveUp(Refusal),
 }
 
 /// The state of one request at its entry.
@@ -57,27 +57,27 @@
     }
 
     /// Notes that part of the answer has been passed on.
-    pub const fn on_reached_caller(&mut self) {
+    pub const fn on_answer_started(&mut self) {
         self.reached_caller = true;
     }
 
     /// Decides after a failed attempt.
-    pub fn on_failure(&mut self, refusal: Refusal, budget: &mut RetryBudget, now_ms: u64) -> Next {
-        self.may_have_run |= refusal.run != Run::NotRun;
+    pub fn on_failure(&mut self, refusal: Refusal, budget: &mut RetryBudget, now_ms: u64) -> RetryDecision {
+        self.may_have_run |= refusal.run != RunStatus::NotRun;
         let may_retry = match refusal.kind.rule().retry {
             Retry::Never => false,
-            Retry::Elsewhere => refusal.run == Run::NotRun || self.repeatable,
+            Retry::Elsewhere => refusal.run == RunStatus::NotRun || self.repeatable,
             Retry::IfRepeatable => self.repeatable,
         };
         let open = may_retry && !self.keyed && !self.reached_caller;
         if !open || self.attempts >= MAX_ATTEMPTS || now_ms >= self.deadline_ms {
-            return Next::Final(self.claim(refusal));
+            return RetryDecision::GiveUp(self.claim(refusal));
         }
         // A leaving endpoint is no sign of overload, so it costs no budget.
         if refusal.kind != ErrorKind::Leaving && !budget.try_take() {
-            return Next::Final(self.claim(refusal));
+            return RetryDecision::GiveUp(self.claim(refusal));
         }
-        Next::TryElsewhere
+        RetryDecision::RetryElsewhere
     }
 
     /// The final answer when no endpoint is left to try. `last` is the refusal of the last attempt.
@@ -90,6 +90,6 @@
     fn claim(&self, refusal: Refusal) -> Refusal {
         let proved_by_home = self.attempts > 0;
         let unproved = self.may_have_run || (self.keyed && !proved_by_home);
-        if refusal.run == Run::NotRun && unproved { refusal.with_run(Run::MayHaveRun) } else { refusal }
+        if refusal.run == RunStatus::NotRun && unproved { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
     }
 }
--- a/crates/ochreyard-core/src/error_kind.rs
+++ b/crates/ochreyard-core/src/error_kind.rs
@@ -7,7 +7,7 @@
 /// What is known about whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Run {
+pub enum RunStatus {
     /// It did not run and will not.
     NotRun,
     /// It may have run.
@@ -16,7 +16,7 @@
     Ran,
 }
 
-impl Run {
+impl RunStatus {
     /// The value of the `Ochreyard-Run` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -28,7 +28,7 @@
     }
 }
 
-impl fmt::Display for Run {
+impl fmt::Display for RunStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -51,7 +51,7 @@
     /// HTTP status.
     pub status: u16,
     /// What the answer claims about the run.
-    pub run: Run,
+    pub run: RunStatus,
     /// Whether the entry may try again by itself.
     pub retry: Retry,
     /// `Retry-After` in milliseconds when the refusing part gave none; 0 for no header.
@@ -88,7 +88,7 @@
             pub const fn rule(self) -> AnswerRule {
                 match self {
                     $(Self::$kind => AnswerRule {
-                        status: $status, run: Run::$run, retry: Retry::$retry,
+                        status: $status, run: RunStatus::$run, retry: Retry::$retry,
                         retry_after_ms: $after, advice: $advice,
                     },)*
                 }
@@ -180,7 +180,7 @@
     /// What went wrong.
     pub kind: ErrorKind,
     /// What is claimed about the run. Weaker than the rule's claim where the rule's is not proved.
-    pub run: Run,
+    pub run: RunStatus,
     /// When to come back, in milliseconds; 0 for no advice.
     pub retry_after_ms: u64,
     /// Which part of the request or state is meant.
@@ -211,7 +211,7 @@
 
     /// Replaces the claim about the run.
     #[must_use]
-    pub const fn with_run(mut self, run: Run) -> Self {
+    pub const fn with_run(mut self, run: RunStatus) -> Self {
         self.run = run;
         self
     }
--- a/crates/ochreyard-core/src/frame.rs
+++ b/crates/ochreyard-core/src/frame.rs
@@ -90,7 +90,7 @@
 
 /// Why the answer cannot be whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum FrameFault {
+pub enum FrameError {
     /// A frame is missing before this one.
     #[error("a frame is missing")]
     Gap,
@@ -104,11 +104,11 @@
 
 /// What to do with a frame that has arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FrameVerdict {
+pub enum FrameAction {
     /// Pass it on.
-    Pass(FrameBody),
+    Forward(FrameBody),
     /// The answer is whole: end the caller's body.
-    Whole,
+    Complete,
     /// Stale, repeated or of another attempt: drop and count it.
     Drop,
 }
@@ -132,37 +132,37 @@
     ///
     /// # Errors
     ///
-    /// [`FrameFault`] when the answer can no longer become whole.
-    pub fn take(&mut self, frame: Frame) -> Result<FrameVerdict, FrameFault> {
+    /// [`FrameError`] when the answer can no longer become whole.
+    pub fn accept(&mut self, frame: Frame) -> Result<FrameAction, FrameError> {
         let foreign = frame.attempt != self.attempt;
         if foreign || self.whole || frame.number < self.tally.frames {
-            return Ok(FrameVerdict::Drop);
+            return Ok(FrameAction::Drop);
         }
         if frame.number > self.tally.frames {
-            return Err(FrameFault::Gap);
+            return Err(FrameError::Gap);
         }
         if let FrameBody::End { frames, checksum } = frame.body {
             return self.finish(Tally { frames, checksum });
         }
         let is_head = matches!(frame.body, FrameBody::Head { .. });
         if is_head != (frame.number == 0) {
-            return Err(FrameFault::HeadOutOfPlace);
+            return Err(FrameError::HeadOutOfPlace);
         }
         self.tally.add(&frame.body);
-        Ok(FrameVerdict::Pass(frame.body))
+        Ok(FrameAction::Forward(frame.body))
     }
 
-    fn finish(&mut self, claimed: Tally) -> Result<FrameVerdict, FrameFault> {
+    fn finish(&mut self, claimed: Tally) -> Result<FrameAction, FrameError> {
         if claimed != self.tally || claimed.frames == 0 {
-            return Err(FrameFault::EndMismatch);
+            return Err(FrameError::EndMismatch);
         }
         self.whole = true;
-        Ok(FrameVerdict::Whole)
+        Ok(FrameAction::Complete)
     }
 
     /// Whether the whole answer has arrived and checked out.
     #[must_use]
-    pub const fn is_whole(&self) -> bool {
+    pub const fn is_complete(&self) -> bool {
         self.whole
     }
 }
--- a/crates/ochreyard-core/src/home.rs
+++ b/crates/ochreyard-core/src/home.rs
@@ -48,13 +48,13 @@
 
 /// Where a key may run now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum HomeAnswer {
+pub enum KeyHome {
     /// At this endpoint and no other.
     At(EndpointId),
     /// Nowhere yet: an old home may still run it.
     Moving,
     /// Nowhere: no endpoint is permitted.
-    Nowhere,
+    NoPermittedEndpoint,
 }
 
 /// Where keys of one workspace and service live, with all past sets that a
@@ -72,12 +72,12 @@
 impl HomeView<'_> {
     /// Where the key with this hash may run.
     #[must_use]
-    pub fn home_of(&self, key_hash: u64) -> HomeAnswer {
+    pub fn home_of(&self, key_hash: u64) -> KeyHome {
         let (Some(set), Some(places)) = (self.sets.last(), self.run_in.last()) else {
-            return HomeAnswer::Nowhere;
+            return KeyHome::NoPermittedEndpoint;
         };
         let Some((home, member)) = pick(set, places, key_hash) else {
-            return HomeAnswer::Nowhere;
+            return KeyHome::NoPermittedEndpoint;
         };
         let present = member_key(home, member.agent_addr);
         let displaced_at = set.since_version.max(places.since_version);
@@ -86,7 +86,7 @@
             .filter_map(|(s, r)| pick(s, r, key_hash))
             .map(|(endpoint, member)| member_key(endpoint, member.agent_addr))
             .any(|old| old != present && self.acks.get(&old).is_none_or(|acked| *acked < displaced_at));
-        if blocked { HomeAnswer::Moving } else { HomeAnswer::At(home.clone()) }
+        if blocked { KeyHome::Moving } else { KeyHome::At(home.clone()) }
     }
 }
 
--- a/crates/ochreyard-core/src/membership.rs
+++ b/crates/ochreyard-core/src/membership.rs
@@ -44,14 +44,14 @@
 
 /// How long silence lasts until an agent is suspected or taken for down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SilenceLimits {
+pub struct HeartbeatTimeouts {
     /// Silence before suspicion, in milliseconds.
     pub suspect_after_ms: u64,
     /// Silence before it counts as down, in milliseconds.
     pub down_after_ms: u64,
 }
 
-impl Default for SilenceLimits {
+impl Default for HeartbeatTimeouts {
     fn default() -> Self {
         Self { suspect_after_ms: 2_500, down_after_ms: 5_000 }
     }
@@ -63,11 +63,11 @@
     /// Its last report.
     pub report: AgentReport,
     /// When that came, in milliseconds.
-    pub heard_ms: u64,
+    pub last_report_ms: u64,
     /// When this life of it was first met, in milliseconds.
-    pub met_ms: u64,
+    pub first_seen_ms: u64,
     /// Whether its connection has broken since.
-    pub broken: bool,
+    pub connection_broken: bool,
     /// Whether the platform's list calls its box leaving.
     pub listed_leaving: bool,
 }
@@ -75,14 +75,14 @@
 /// All agents that an entry has met.
 #[derive(Debug, Clone, Default)]
 pub struct Membership {
-    limits: SilenceLimits,
+    limits: HeartbeatTimeouts,
     members: BTreeMap<EndpointId, Member>,
 }
 
 impl Membership {
     /// An entry that has met nobody.
     #[must_use]
-    pub const fn new(limits: SilenceLimits) -> Self {
+    pub const fn new(limits: HeartbeatTimeouts) -> Self {
         Self { limits, members: BTreeMap::new() }
     }
 
@@ -94,18 +94,18 @@
             return false;
         }
         if report.incarnation != member.report.incarnation {
-            member.met_ms = now_ms;
+            member.first_seen_ms = now_ms;
         }
         member.report = report;
-        member.heard_ms = now_ms;
-        member.broken = false;
+        member.last_report_ms = now_ms;
+        member.connection_broken = false;
         true
     }
 
     /// Notes that the connection to an agent broke.
-    pub fn on_broken(&mut self, endpoint: &EndpointId) {
+    pub fn on_connection_lost(&mut self, endpoint: &EndpointId) {
         if let Some(member) = self.members.get_mut(endpoint) {
-            member.broken = true;
+            member.connection_broken = true;
         }
     }
 
@@ -145,8 +145,8 @@
         let Some(member) = self.members.get(endpoint) else {
             return Health::Down;
         };
-        let silence_ms = now_ms.saturating_sub(member.heard_ms);
-        if member.broken || silence_ms >= self.limits.down_after_ms {
+        let silence_ms = now_ms.saturating_sub(member.last_report_ms);
+        if member.connection_broken || silence_ms >= self.limits.down_after_ms {
             Health::Down
         } else if silence_ms >= self.limits.suspect_after_ms {
             Health::Suspect
@@ -157,7 +157,7 @@
 
     /// Whether new work may be sent there.
     #[must_use]
-    pub fn takes_work(&self, endpoint: &EndpointId, now_ms: u64) -> bool {
+    pub fn accepts_work(&self, endpoint: &EndpointId, now_ms: u64) -> bool {
         let stays = self.members.get(endpoint).is_some_and(|m| !m.report.leaving && !m.listed_leaving);
         stays && self.health(endpoint, now_ms) < Health::Down
     }
--- a/crates/ochreyard-core/src/routing.rs
+++ b/crates/ochreyard-core/src/routing.rs
@@ -11,7 +11,7 @@
     /// Requests that this entry has under way there.
     pub own_in_flight: u32,
     /// Requests that this entry had under way there when the last report came.
-    pub own_at_report: u32,
+    pub own_in_flight_at_report: u32,
     /// Requests that run there by its last report.
     pub reported_running: u32,
     /// Requests that wait there by its last report.
@@ -33,7 +33,7 @@
         Self {
             health: Health::Alive,
             own_in_flight: 0,
-            own_at_report: 0,
+            own_in_flight_at_report: 0,
             reported_running: 0,
             reported_waiting: 0,
             report_age_ms: 0,
@@ -49,7 +49,7 @@
     /// What the other entries had here when the last report came.
     fn of_others(&self) -> u64 {
         let reported = u64::from(self.reported_running) + u64::from(self.reported_waiting);
-        reported.saturating_sub(u64::from(self.own_at_report))
+        reported.saturating_sub(u64::from(self.own_in_flight_at_report))
     }
 
     /// What the other entries probably have here now, in thousandths of a request.
--- a/crates/ochreyard-core/tests/admission.rs
+++ b/crates/ochreyard-core/tests/admission.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use ochreyard_core::admission::{
-    Admission, AdmissionAction, AdmissionSettings, AttemptLog, AttemptState, KeptAnswer, Offer, Outcome, RevokeAnswer,
+    Admission, AdmissionAction, AdmissionSettings, AttemptLog, AttemptState, Offer, Outcome, RevokeAnswer, StoredAnswer,
 };
 use ochreyard_core::config::{
-    Change, Configuration, ConfirmedPlan, EndpointSpec, Holding, PlaceSpec, Role, ServiceKind, ServiceSpec,
+    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec,
     WorkspaceSpec,
 };
-use ochreyard_core::error_kind::{ErrorKind, Run};
+use ochreyard_core::error_kind::{ErrorKind, RunStatus};
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -37,7 +37,7 @@
 }
 
 fn configuration(workspaces: Vec<WorkspaceSpec>, slots: u32) -> Configuration {
-    let place = |name: &str| PlaceSpec {
+    let place = |name: &str| DataCentreSpec {
         data_centre: name.into(),
         may_hold: vec![Holding { service: "s".into(), model_versions: BTreeSet::new(), roles: BTreeSet::new() }],
     };
@@ -54,7 +54,7 @@
     };
     let change = Change {
         services: vec![service],
-        places: vec![place("dc"), place("far")],
+        data_centres: vec![place("dc"), place("far")],
         workspaces,
         endpoints: vec![endpoint],
         ..Change::default()
@@ -99,7 +99,7 @@
     }
 }
 
-fn refusal(actions: &[AdmissionAction]) -> (ErrorKind, Run) {
+fn refusal(actions: &[AdmissionAction]) -> (ErrorKind, RunStatus) {
     match actions {
         [AdmissionAction::Refuse { refusal, .. }] => (refusal.kind, refusal.run),
         other => panic!("no single refusal: {other:?}"),
@@ -116,7 +116,7 @@
 fn work_runs_only_in_its_places(#[case] name: &str, #[case] run_in: &[&str], #[case] kind: ErrorKind) {
     let mut f = Fixture::with(configuration(vec![workspace("a", run_in, run_in)], 2));
     let (_, actions) = f.offer(name);
-    assert_eq!(refusal(&actions), (kind, Run::NotRun));
+    assert_eq!(refusal(&actions), (kind, RunStatus::NotRun));
 }
 
 /// The entry's configuration may be older than the agent's: the agent's own counts.
@@ -140,16 +140,16 @@
 fn data_that_may_not_rest_here_does_not_wait_here() {
     let mut f = Fixture::with(configuration(vec![workspace("a", &["dc"], &["far"])], 1));
     assert!(is_start(&f.offer("a").1));
-    assert_eq!(refusal(&f.offer("a").1), (ErrorKind::Overloaded, Run::NotRun));
+    assert_eq!(refusal(&f.offer("a").1), (ErrorKind::Overloaded, RunStatus::NotRun));
 }
 
 #[test]
 fn an_answer_that_may_not_rest_here_is_not_kept() {
     let mut f = Fixture::with(configuration(vec![workspace("a", &["dc"], &[])], 1));
     let (attempt, _) = f.keyed("k", 1);
-    let answer = Arc::new(KeptAnswer { status: 200, content_type: String::new(), body: b"secret".to_vec() });
+    let answer = Arc::new(StoredAnswer { status: 200, content_type: String::new(), body: b"secret".to_vec() });
     f.admission.finish(attempt, Outcome::ran(1).with_answer(answer), f.now_ms);
-    assert_eq!(refusal(&f.keyed("k", 1).1), (ErrorKind::AlreadyRan, Run::Ran));
+    assert_eq!(refusal(&f.keyed("k", 1).1), (ErrorKind::AlreadyRan, RunStatus::Ran));
 }
 
 #[test]
@@ -159,7 +159,7 @@
     let (waiting, _) = f.offer("b");
     let actions = f.admission.leave();
     assert!(matches!(&actions[..], [AdmissionAction::Refuse { attempt, .. }] if *attempt == waiting));
-    assert_eq!(refusal(&f.offer("a").1), (ErrorKind::Leaving, Run::NotRun));
+    assert_eq!(refusal(&f.offer("a").1), (ErrorKind::Leaving, RunStatus::NotRun));
     assert_eq!(f.admission.running(), 1);
     assert!(f.admission.finish(running, Outcome::ran(1), f.now_ms).is_empty());
     // A kept answer is still given: that is no new work.
@@ -170,7 +170,7 @@
 fn a_leaving_home_still_gives_kept_answers() {
     let mut f = Fixture::new(1);
     let (attempt, _) = f.keyed("k", 1);
-    let answer = Arc::new(KeptAnswer { status: 200, content_type: String::new(), body: b"done".to_vec() });
+    let answer = Arc::new(StoredAnswer { status: 200, content_type: String::new(), body: b"done".to_vec() });
     f.admission.finish(attempt, Outcome::ran(1).with_answer(Arc::clone(&answer)), f.now_ms);
     f.admission.leave();
     let (_, actions) = f.keyed("k", 1);
@@ -183,7 +183,7 @@
     let attempt = f.attempt();
     assert_eq!(f.admission.revoke(attempt, LIFE).0, RevokeAnswer::NotStarted);
     let actions = f.admission.offer(Offer::new(attempt, LIFE, "a", "s"), f.now_ms);
-    assert_eq!(actions, [AdmissionAction::Repeated(attempt)]);
+    assert_eq!(actions, [AdmissionAction::Duplicate(attempt)]);
     let (started, _) = f.offer("a");
     assert_eq!(f.admission.revoke(started, LIFE).0, RevokeAnswer::Started);
     assert_eq!(f.admission.revoke(started, Incarnation(49)).0, RevokeAnswer::Unknown);
@@ -194,7 +194,7 @@
     let mut f = Fixture::new(1);
     let attempt = f.attempt();
     let actions = f.admission.offer(Offer::new(attempt, Incarnation(49), "a", "s"), f.now_ms);
-    assert_eq!(refusal(&actions), (ErrorKind::Stale, Run::MayHaveRun));
+    assert_eq!(refusal(&actions), (ErrorKind::Stale, RunStatus::MayHaveRun));
 }
 
 #[test]
@@ -205,7 +205,7 @@
     f.admission.offer(Offer::new(attempt, LIFE, "b", "s").with_remaining_ms(500), f.now_ms);
     assert!(f.admission.tick(f.now_ms + 499).is_empty());
     let actions = f.admission.tick(f.now_ms + 500);
-    assert_eq!(refusal(&actions), (ErrorKind::DeadlineBeforeStart, Run::NotRun));
+    assert_eq!(refusal(&actions), (ErrorKind::DeadlineBeforeStart, RunStatus::NotRun));
 }
 
 #[test]
@@ -231,7 +231,7 @@
     let mut f = Fixture::new(2);
     let (attempt, _) = f.keyed("k", 1);
     f.admission.finish(attempt, Outcome::may_have_run(1), f.now_ms);
-    assert_eq!(refusal(&f.keyed("k", 1).1), (ErrorKind::KeyUnproven, Run::MayHaveRun));
+    assert_eq!(refusal(&f.keyed("k", 1).1), (ErrorKind::KeyUnproven, RunStatus::MayHaveRun));
 }
 
 #[test]
@@ -249,7 +249,7 @@
         let (attempt, _) = f.keyed(key, 1);
         f.admission.finish(attempt, Outcome::ran(1), f.now_ms);
     }
-    assert_eq!(refusal(&f.keyed("k4", 1).1), (ErrorKind::KeyStoreFull, Run::NotRun));
+    assert_eq!(refusal(&f.keyed("k4", 1).1), (ErrorKind::KeyStoreFull, RunStatus::NotRun));
     assert_eq!(refusal(&f.keyed("k1", 1).1).0, ErrorKind::AlreadyRan);
     f.now_ms += WINDOW_MS;
     f.admission.tick(f.now_ms);
@@ -277,7 +277,7 @@
     let (_, actions) = f.keyed(&key, 1);
     assert_eq!(is_start(&actions), runs, "{actions:?}");
     if !runs {
-        assert_eq!(refusal(&actions), (ErrorKind::KeyUnproven, Run::MayHaveRun));
+        assert_eq!(refusal(&actions), (ErrorKind::KeyUnproven, RunStatus::MayHaveRun));
     }
 }
 
--- a/crates/ochreyard-core/tests/at_most_once_model/specs.rs
+++ b/crates/ochreyard-core/tests/at_most_once_model/specs.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::admission::{Admission, AdmissionSettings};
-use ochreyard_core::config::{Change, EndpointSpec, Holding, PlaceSpec, Role, ServiceKind, ServiceSpec, WorkspaceSpec};
+use ochreyard_core::config::{
+    Change, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec, WorkspaceSpec,
+};
 use ochreyard_core::ids::Incarnation;
 
 use super::WINDOW_MS;
@@ -13,7 +15,7 @@
 pub fn first_change() -> Change {
     Change {
         services: vec![service()],
-        places: vec![place("dc-a"), place("dc-b")],
+        data_centres: vec![place("dc-a"), place("dc-b")],
         workspaces: vec![workspace(3)],
         endpoints: vec![endpoint_spec(0, 0), endpoint_spec(1, 0)],
         ..Change::default()
@@ -24,8 +26,8 @@
     ServiceSpec { service: "s".into(), kind: ServiceKind::Plain, first_byte_ms: 100, objective_permille: 900 }
 }
 
-fn place(name: &str) -> PlaceSpec {
-    PlaceSpec {
+fn place(name: &str) -> DataCentreSpec {
+    DataCentreSpec {
         data_centre: name.into(),
         may_hold: vec![Holding { service: "s".into(), model_versions: BTreeSet::new(), roles: BTreeSet::new() }],
     }
--- a/crates/ochreyard-core/tests/at_most_once_model/steps.rs
+++ b/crates/ochreyard-core/tests/at_most_once_model/steps.rs
@@ -4,7 +4,7 @@
 
 use ochreyard_core::admission::{Offer, Outcome, RevokeAnswer};
 use ochreyard_core::config::{Change, ConfigRecord, HomeAck};
-use ochreyard_core::home::{HomeAnswer, key_hash};
+use ochreyard_core::home::{KeyHome, key_hash};
 use ochreyard_core::ids::AttemptId;
 
 use super::MARGIN_MS;
@@ -59,14 +59,15 @@
         let page = self.page(self.entries[entry].fold.cursor());
         let step = self.step;
         let entry = &mut self.entries[entry];
-        entry.fold.read(&page);
+        entry.fold.fold_page(&page);
         entry.tail = Some((step, entry.fold.version()));
     }
 
     /// The entry lost sight of an attempt that is still on its way.
     fn revoke(&mut self, at: usize) {
         let message = self.messages[at % self.messages.len()].clone();
-        let (answer, actions) = self.agents[message.agent].admission.revoke(message.offer.attempt, message.offer.to);
+        let (answer, actions) =
+            self.agents[message.agent].admission.revoke(message.offer.attempt, message.offer.agent_incarnation);
         if answer == RevokeAnswer::NotStarted {
             self.note_not_run(message.offer.attempt);
         }
@@ -119,7 +120,7 @@
         let entry = &mut self.entries[entry];
         let Some(state) = entry.fold.state() else { return };
         let view = state.home_view(&"w".into(), &"s".into());
-        let HomeAnswer::At(home) = view.home_of(key_hash("w", "s", &key)) else { return };
+        let KeyHome::At(home) = view.home_of(key_hash("w", "s", &key)) else { return };
         let addr = state.endpoint(&home).unwrap().agent_addr;
         let Some(agent) = self.agents.iter().position(|agent| agent.addr == addr) else { return };
         let Some((to, _)) = entry.heard.get(&agent) else { return };
--- a/crates/ochreyard-core/tests/at_most_once_model/world.rs
+++ b/crates/ochreyard-core/tests/at_most_once_model/world.rs
@@ -4,7 +4,7 @@
 
 use ochreyard_core::admission::AdmissionAction;
 use ochreyard_core::config::{Change, ConfigFold, ConfigRecord, ConfirmedPlan, LogPage, LogRecord};
-use ochreyard_core::error_kind::Run;
+use ochreyard_core::error_kind::RunStatus;
 use ochreyard_core::ids::{AttemptId, Incarnation, PlanId};
 
 use super::agent::Agent;
@@ -80,7 +80,7 @@
 
     pub fn confirm(&mut self, change: Change) {
         let page = self.page(self.truth.cursor());
-        self.truth.read(&page);
+        self.truth.fold_page(&page);
         let plan = ConfirmedPlan {
             plan_id: PlanId::from(format!("p{}", self.log.len())),
             base_version: self.truth.version(),
@@ -100,7 +100,7 @@
         for action in actions {
             match action {
                 AdmissionAction::Start(attempt) => self.start(agent, attempt),
-                AdmissionAction::Refuse { attempt, refusal } if refusal.run == Run::NotRun => {
+                AdmissionAction::Refuse { attempt, refusal } if refusal.run == RunStatus::NotRun => {
                     self.note_not_run(attempt);
                 }
                 _ => {}
--- a/crates/ochreyard-core/tests/burn.rs
+++ b/crates/ochreyard-core/tests/burn.rs
@@ -1,6 +1,6 @@
 //! Burn over a short and a long window.
 
-use ochreyard_core::burn::{BurnMeter, Tally, burn_rate};
+use ochreyard_core::burn::{BurnMeter, RequestCounts, burn_rate};
 use ochreyard_core::error_kind::ErrorKind;
 use rstest::rstest;
 
@@ -11,18 +11,18 @@
 #[case::exactly_the_budget(100, 5, 1.0)]
 #[case::twice_the_budget(100, 10, 2.0)]
 fn one_spends_the_budget_exactly(#[case] requests: u32, #[case] missed: u32, #[case] rate: f64) {
-    assert!((burn_rate(Tally { requests, missed }, 950) - rate).abs() < 1e-9);
+    assert!((burn_rate(RequestCounts { requests, missed }, 950) - rate).abs() < 1e-9);
 }
 
 #[test]
 fn the_short_window_forgets_before_the_long_one() {
     let mut meter = BurnMeter::default();
-    meter.count(Some(ErrorKind::Overloaded), false, MINUTE_MS);
-    meter.count(None, true, MINUTE_MS);
-    meter.count(None, false, MINUTE_MS);
-    let all = Tally { requests: 3, missed: 2 };
-    assert_eq!((meter.short(2 * MINUTE_MS), meter.long(2 * MINUTE_MS)), (all, all));
-    assert_eq!((meter.short(8 * MINUTE_MS), meter.long(8 * MINUTE_MS)), (Tally::default(), all));
-    assert_eq!(meter.long(70 * MINUTE_MS), Tally::default());
+    meter.record(Some(ErrorKind::Overloaded), false, MINUTE_MS);
+    meter.record(None, true, MINUTE_MS);
+    meter.record(None, false, MINUTE_MS);
+    let all = RequestCounts { requests: 3, missed: 2 };
+    assert_eq!((meter.short_window(2 * MINUTE_MS), meter.long_window(2 * MINUTE_MS)), (all, all));
+    assert_eq!((meter.short_window(8 * MINUTE_MS), meter.long_window(8 * MINUTE_MS)), (RequestCounts::default(), all));
+    assert_eq!(meter.long_window(70 * MINUTE_MS), RequestCounts::default());
     assert_eq!(meter.spent_by(), [("overloaded".to_owned(), 1), ("late".to_owned(), 1)]);
 }
--- a/crates/ochreyard-core/tests/claims.rs
+++ b/crates/ochreyard-core/tests/claims.rs
@@ -1,7 +1,7 @@
 //! What is claimed about a run is never more than what is known.
 
-use ochreyard_core::dispatch::{Dispatch, MAX_ATTEMPTS, Next};
-use ochreyard_core::error_kind::{ErrorKind, Refusal, Retry, Run};
+use ochreyard_core::dispatch::{Dispatch, MAX_ATTEMPTS, RetryDecision};
+use ochreyard_core::error_kind::{ErrorKind, Refusal, Retry, RunStatus};
 use ochreyard_core::retry::RetryBudget;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -17,7 +17,7 @@
         let rule = kind.rule();
         assert!((400..600).contains(&rule.status), "{kind}");
         // Only what surely did not run may go elsewhere as a matter of course.
-        assert!(rule.retry != Retry::Elsewhere || rule.run == Run::NotRun, "{kind}");
+        assert!(rule.retry != Retry::Elsewhere || rule.run == RunStatus::NotRun, "{kind}");
         assert!(rule.status != 503 || rule.retry_after_ms > 0, "{kind} must say when to come back");
     }
 }
@@ -39,17 +39,17 @@
             dispatch.begin(&format!("e{at}").into());
             let mut refusal = Refusal::new(kind);
             if weaker {
-                refusal = refusal.with_run(Run::MayHaveRun);
+                refusal = refusal.with_run(RunStatus::MayHaveRun);
             }
-            may_have_run |= refusal.run != Run::NotRun;
+            may_have_run |= refusal.run != RunStatus::NotRun;
             match dispatch.on_failure(refusal, &mut budget, 10) {
-                Next::TryElsewhere => {
+                RetryDecision::RetryElsewhere => {
                     prop_assert!(!keyed, "a key has one home");
                     prop_assert!(repeatable || !may_have_run, "{kind} could run twice");
                     prop_assert!(at + 1 < MAX_ATTEMPTS as usize);
                 }
-                Next::Final(answer) => {
-                    prop_assert!(answer.run != Run::NotRun || !may_have_run, "{kind} claims too much");
+                RetryDecision::GiveUp(answer) => {
+                    prop_assert!(answer.run != RunStatus::NotRun || !may_have_run, "{kind} claims too much");
                     break;
                 }
             }
@@ -61,9 +61,9 @@
 fn nothing_is_tried_again_once_part_of_the_answer_is_out() {
     let mut dispatch = Dispatch::new(true, false, 1_000);
     dispatch.begin(&"e".into());
-    dispatch.on_reached_caller();
+    dispatch.on_answer_started();
     let next = dispatch.on_failure(ErrorKind::ConnectionLost.into(), &mut RetryBudget::default(), 1);
-    assert!(matches!(next, Next::Final(_)));
+    assert!(matches!(next, RetryDecision::GiveUp(_)));
 }
 
 #[rstest]
@@ -77,7 +77,7 @@
     let mut dispatch = Dispatch::new(true, false, 1_000);
     dispatch.begin(&"e".into());
     let next = dispatch.on_failure(kind.into(), &mut budget, 1);
-    assert_eq!(next == Next::TryElsewhere, goes_on);
+    assert_eq!(next == RetryDecision::RetryElsewhere, goes_on);
 }
 
 #[test]
@@ -94,7 +94,7 @@
 #[test]
 fn without_any_attempt_a_key_is_not_said_to_be_not_run() {
     let keyed = Dispatch::new(false, true, 1_000);
-    assert_eq!(keyed.give_up(None).run, Run::MayHaveRun);
+    assert_eq!(keyed.give_up(None).run, RunStatus::MayHaveRun);
     let plain = Dispatch::new(false, false, 1_000);
-    assert_eq!(plain.give_up(None).run, Run::NotRun);
+    assert_eq!(plain.give_up(None).run, RunStatus::NotRun);
 }
--- a/crates/ochreyard-core/tests/config_fold.rs
+++ b/crates/ochreyard-core/tests/config_fold.rs
@@ -8,7 +8,7 @@
 
 use ochreyard_core::config::{
     Change, ConfigFold, ConfigRecord, Configuration, ConfirmedPlan, FoldEvent, FoldStatus, LogPage, LogRecord,
-    ServiceKind, ServiceSpec, Void,
+    ServiceKind, ServiceSpec, VoidReason,
 };
 use ochreyard_core::ids::PlanId;
 use proptest::prelude::*;
@@ -107,7 +107,7 @@
         let offset = self.next_offset();
         self.records.push(text.clone());
         let page = LogPage { first_offset: 0, next_offset: offset + 1, records: vec![LogRecord { offset, text }] };
-        self.truth.read(&page);
+        self.truth.fold_page(&page);
         let state = self.truth.state().unwrap();
         self.state_at.insert(state.version(), without_position(state));
     }
@@ -183,7 +183,7 @@
 
     fn read(&mut self, reader: usize, limit: usize) {
         let page = self.page(self.readers[reader].cursor(), limit);
-        self.readers[reader].read(&page);
+        self.readers[reader].fold_page(&page);
         self.check(reader);
     }
 
@@ -257,7 +257,7 @@
         world.read(reader, 9);
         let fold = &world.readers[reader];
         assert_eq!(fold.outcome(&"first".into()), Some(&Ok(1)));
-        assert!(matches!(fold.outcome(&"second".into()), Some(Err(Void::Overtaken { version: 1, .. }))));
+        assert!(matches!(fold.outcome(&"second".into()), Some(Err(VoidReason::Conflict { version: 1, .. }))));
         assert_eq!(fold.state().unwrap().service(&"maps".into()).unwrap().first_byte_ms, 1);
     }
 }
@@ -279,7 +279,7 @@
     world.append_text("{\"kind\":\"confirmed\"".into());
     world.append(&ConfigRecord::Confirmed(confirmed("p", 0, service(1))));
     let page = world.page(0, 9);
-    let events = world.readers[0].read(&page);
+    let events = world.readers[0].fold_page(&page);
     assert!(matches!(events[0], FoldEvent::Unreadable { offset: 0, .. }));
     assert_eq!(world.readers[0].version(), 2);
 }
--- a/crates/ochreyard-core/tests/frames.rs
+++ b/crates/ochreyard-core/tests/frames.rs
@@ -1,6 +1,6 @@
 //! What a caller sees as whole is byte for byte the answer to its own request.
 
-use ochreyard_core::frame::{Frame, FrameBody, FrameFault, FrameReader, FrameVerdict, FrameWriter};
+use ochreyard_core::frame::{Frame, FrameAction, FrameBody, FrameError, FrameReader, FrameWriter};
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -26,13 +26,13 @@
     let mut reader = FrameReader::new(attempt);
     let mut body = Vec::new();
     for frame in frames {
-        match reader.take(frame) {
-            Ok(FrameVerdict::Pass(FrameBody::Data(bytes))) => body.extend(bytes),
+        match reader.accept(frame) {
+            Ok(FrameAction::Forward(FrameBody::Data(bytes))) => body.extend(bytes),
             Ok(_) => {}
             Err(_) => return (body, false),
         }
     }
-    (body, reader.is_whole())
+    (body, reader.is_complete())
 }
 
 proptest! {
@@ -99,12 +99,12 @@
 }
 
 #[rstest]
-#[case::a_missing_part(vec![0, 2, 3], FrameFault::Gap)]
-#[case::no_head(vec![1], FrameFault::Gap)]
-fn a_hole_breaks_the_answer(#[case] order: Vec<usize>, #[case] fault: FrameFault) {
+#[case::a_missing_part(vec![0, 2, 3], FrameError::Gap)]
+#[case::no_head(vec![1], FrameError::Gap)]
+fn a_hole_breaks_the_answer(#[case] order: Vec<usize>, #[case] fault: FrameError) {
     let frames = answer(attempt(1), &[b"a".to_vec(), b"b".to_vec()]);
     let mut reader = FrameReader::new(attempt(1));
-    let verdict = order.iter().map(|at| reader.take(frames[*at].clone())).find_map(Result::err);
+    let verdict = order.iter().map(|at| reader.accept(frames[*at].clone())).find_map(Result::err);
     assert_eq!(verdict, Some(fault));
 }
 
--- a/crates/ochreyard-core/tests/membership.rs
+++ b/crates/ochreyard-core/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Heartbeats, lives, suspicion that a slow process can refute.
 
 use ochreyard_core::ids::{EndpointId, Incarnation};
-use ochreyard_core::membership::{AgentReport, Health, Membership, SilenceLimits};
+use ochreyard_core::membership::{AgentReport, Health, HeartbeatTimeouts, Membership};
 use rstest::rstest;
 
 fn report(life: u64, number: u64) -> AgentReport {
@@ -13,7 +13,7 @@
 }
 
 fn heard_at(now_ms: u64) -> Membership {
-    let mut membership = Membership::new(SilenceLimits { suspect_after_ms: 100, down_after_ms: 300 });
+    let mut membership = Membership::new(HeartbeatTimeouts { suspect_after_ms: 100, down_after_ms: 300 });
     membership.on_report(&endpoint(), report(1, 1), now_ms);
     membership
 }
@@ -46,7 +46,7 @@
 #[test]
 fn a_broken_link_counts_until_the_next_report() {
     let mut membership = heard_at(0);
-    membership.on_broken(&endpoint());
+    membership.on_connection_lost(&endpoint());
     assert_eq!(membership.health(&endpoint(), 1), Health::Down);
     membership.on_report(&endpoint(), report(1, 2), 2);
     assert_eq!(membership.health(&endpoint(), 2), Health::Alive);
@@ -61,14 +61,14 @@
     let mut by_report = heard_at(0);
     by_report.on_report(&endpoint(), AgentReport { leaving: true, ..report(1, 2) }, 1);
     for membership in [by_refusal, by_list, by_report] {
-        assert!(!membership.takes_work(&endpoint(), 1));
+        assert!(!membership.accepts_work(&endpoint(), 1));
     }
-    assert!(heard_at(0).takes_work(&endpoint(), 1));
+    assert!(heard_at(0).accepts_work(&endpoint(), 1));
 }
 
 #[test]
 fn a_new_life_is_met_anew() {
     let mut membership = heard_at(0);
     membership.on_report(&endpoint(), report(2, 1), 50);
-    assert_eq!(membership.member(&endpoint()).unwrap().met_ms, 50);
+    assert_eq!(membership.member(&endpoint()).unwrap().first_seen_ms, 50);
 }
--- a/crates/ochreyard-core/tests/retry_after.rs
+++ b/crates/ochreyard-core/tests/retry_after.rs
@@ -1,7 +1,7 @@
 //! Times that peers name, in all the forms in which they may come.
 
 use ochreyard_core::direct::backoff_ms;
-use ochreyard_core::retry_after::{LONGEST_MS, NoRetryAfter, parse_ms};
+use ochreyard_core::retry_after::{MAX_RETRY_AFTER_MS, ParseRetryAfterError, parse_ms};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,14 +13,14 @@
 #[case::zero("0", Ok(0))]
 #[case::minus_zero("-0", Ok(0))]
 #[case::exponent("1e1", Ok(10_000))]
-#[case::absurd("1e300", Ok(LONGEST_MS))]
-#[case::infinite("inf", Ok(LONGEST_MS))]
-#[case::negative("-2", Err(NoRetryAfter::Negative))]
-#[case::nothing("", Err(NoRetryAfter::NotSeconds))]
-#[case::no_number("NaN", Err(NoRetryAfter::NotSeconds))]
-#[case::word("soon", Err(NoRetryAfter::NotSeconds))]
-#[case::date("Wed, 21 Oct 2026 07:28:00 GMT", Err(NoRetryAfter::NotSeconds))]
-fn a_time_is_read_or_refused(#[case] value: &str, #[case] expected: Result<u64, NoRetryAfter>) {
+#[case::absurd("1e300", Ok(MAX_RETRY_AFTER_MS))]
+#[case::infinite("inf", Ok(MAX_RETRY_AFTER_MS))]
+#[case::negative("-2", Err(ParseRetryAfterError::Negative))]
+#[case::nothing("", Err(ParseRetryAfterError::NotSeconds))]
+#[case::no_number("NaN", Err(ParseRetryAfterError::NotSeconds))]
+#[case::word("soon", Err(ParseRetryAfterError::NotSeconds))]
+#[case::date("Wed, 21 Oct 2026 07:28:00 GMT", Err(ParseRetryAfterError::NotSeconds))]
+fn a_time_is_read_or_refused(#[case] value: &str, #[case] expected: Result<u64, ParseRetryAfterError>) {
     assert_eq!(parse_ms(value), expected);
 }
 
@@ -43,11 +43,11 @@
     ) {
         let read = backoff_ms(values.iter().map(Vec::as_slice));
         prop_assert_eq!(read.is_some(), !values.is_empty());
-        prop_assert!(read.unwrap_or_default() <= LONGEST_MS);
+        prop_assert!(read.unwrap_or_default() <= MAX_RETRY_AFTER_MS);
     }
 
     #[test]
-    fn every_time_in_range_is_kept_to_the_millisecond(ms in 0..LONGEST_MS) {
+    fn every_time_in_range_is_kept_to_the_millisecond(ms in 0..MAX_RETRY_AFTER_MS) {
         let read_ms = parse_ms(&format!("{:.3}", ms as f64 / 1_000.0)).unwrap();
         prop_assert!(read_ms.abs_diff(ms) <= 1);
     }
--- a/crates/ochreyard-core/tests/routing.rs
+++ b/crates/ochreyard-core/tests/routing.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn own_requests_in_a_report_are_not_counted_twice() {
-    let reported = Candidate { own_at_report: 4, reported_running: 4, ..busy(4) };
+    let reported = Candidate { own_in_flight_at_report: 4, reported_running: 4, ..busy(4) };
     assert_eq!(reported.predicted_wait_us(0), busy(4).predicted_wait_us(0));
 }
 
--- a/crates/ochreyard-entry/src/balancer.rs
+++ b/crates/ochreyard-entry/src/balancer.rs
@@ -5,8 +5,8 @@
 
 use kameo::Actor;
 use kameo::message::{Context, Message};
-use ochreyard_core::config::{ConfigRecord, Configuration, ConfirmedPlan, FoldEvent, LogPage, Void};
-use ochreyard_core::dispatch::{Dispatch, Next};
+use ochreyard_core::config::{ConfigRecord, Configuration, ConfirmedPlan, FoldEvent, LogPage, VoidReason};
+use ochreyard_core::dispatch::{Dispatch, RetryDecision};
 use ochreyard_core::error_kind::{ErrorKind, Refusal};
 use ochreyard_core::ids::{EndpointId, PlanId, ServiceId, WorkspaceId};
 use ochreyard_core::membership::AgentReport;
@@ -135,7 +135,7 @@
         endpoint: EndpointId,
         /// How it failed.
         refusal: Refusal
-    } -> Result<(Dispatch, Next), Refusal>,
+    } -> Result<(Dispatch, RetryDecision), Refusal>,
     |me, msg| {
         let Judge { mut dispatch, endpoint, refusal } = msg;
         me.state.learn_from(&endpoint, &refusal);
@@ -175,7 +175,7 @@
     GetOutcome {
         /// The plan.
         plan_id: PlanId
-    } -> Option<Result<u64, Void>>,
+    } -> Option<Result<u64, VoidReason>>,
     |me, msg| me.state.fold().outcome(&msg.plan_id).cloned()
 );
 message!(
--- a/crates/ochreyard-entry/src/control.rs
+++ b/crates/ochreyard-entry/src/control.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kameo::actor::ActorRef;
-use ochreyard_core::config::{ConfigRecord, ConfirmedPlan, Plan, Void};
+use ochreyard_core::config::{ConfigRecord, ConfirmedPlan, Plan, VoidReason};
 use ochreyard_core::error_kind::{ErrorKind, Refusal};
 use ochreyard_core::ids::{Incarnation, PlanId};
 use ochreyard_operator::api::{Control, ControlError};
@@ -38,7 +38,7 @@
     Refusal::new(error.kind()).with_detail(error.to_string()).into()
 }
 
-fn overtaken(void: &Void) -> ControlError {
+fn overtaken(void: &VoidReason) -> ControlError {
     Refusal::new(ErrorKind::PlanOvertaken).with_detail(void.to_string()).into()
 }
 
--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -8,10 +8,10 @@
 use kameo::actor::ActorRef;
 use metrics_exporter_prometheus::PrometheusHandle;
 use ochreyard_caller::{CallHandler, CallerAnswer, CallerCall, CallerReply, Part};
-use ochreyard_core::admission::{Offer, OfferKey, RevokeAnswer};
-use ochreyard_core::dispatch::{Dispatch, Next};
-use ochreyard_core::error_kind::{ErrorKind, Refusal, Run};
-use ochreyard_core::frame::{FrameBody, FrameReader, FrameVerdict};
+use ochreyard_core::admission::{IdempotencyKey, Offer, RevokeAnswer};
+use ochreyard_core::dispatch::{Dispatch, RetryDecision};
+use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
+use ochreyard_core::frame::{FrameAction, FrameBody, FrameReader};
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use ochreyard_peer::{CallEnd, CallRequest, LinkError, ServiceRequest};
 use ochreyard_process::Clock;
@@ -50,7 +50,7 @@
         let guard = CountGuard::new(&self.in_flight);
         let started = Instant::now();
         if self.refusing.load(Ordering::Relaxed) {
-            let run = if call.key.is_some() { Run::MayHaveRun } else { Run::NotRun };
+            let run = if call.key.is_some() { RunStatus::MayHaveRun } else { RunStatus::NotRun };
             let refusal = Refusal::new(ErrorKind::Leaving).with_run(run);
             return CallerReply { request_id: format!("{}-0", self.incarnation), result: Err(refusal) };
         }
@@ -85,7 +85,7 @@
     };
     // The entry alone cannot know whether a key's earlier call ran.
     let unproved = keyed && matches!(refusal.kind, ErrorKind::Stale | ErrorKind::NotPermitted);
-    if unproved { refusal.with_run(Run::MayHaveRun) } else { refusal }
+    if unproved { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
 }
 
 struct Request<'a> {
@@ -115,8 +115,8 @@
             last = Some(refusal.clone());
             let judge = Judge { dispatch, endpoint: target.endpoint, refusal };
             match self.forwarder.balancer.ask(judge).await {
-                Ok((returned, Next::TryElsewhere)) => dispatch = returned,
-                Ok((_, Next::Final(refusal))) => return Err(self.count_failure(refusal).await),
+                Ok((returned, RetryDecision::RetryElsewhere)) => dispatch = returned,
+                Ok((_, RetryDecision::GiveUp(refusal))) => return Err(self.count_failure(refusal).await),
                 Err(_) => return Err(Refusal::new(ErrorKind::Internal)),
             }
         }
@@ -142,10 +142,10 @@
     fn begin(&self, dispatch: &mut Dispatch, target: &Target) -> Attempt {
         let number = dispatch.begin(&target.endpoint);
         let attempt = AttemptId::new(self.forwarder.incarnation, self.admitted.request, number);
-        let key = self.call.key.clone().map(|key| OfferKey { key, fingerprint: self.call.fingerprint });
+        let key = self.call.key.clone().map(|key| IdempotencyKey { key, fingerprint: self.call.fingerprint });
         let offer = Offer {
             attempt,
-            to: target.incarnation,
+            agent_incarnation: target.incarnation,
             workspace: self.admitted.workspace.clone(),
             service: self.call.service.clone(),
             key,
@@ -264,10 +264,10 @@
             let Some(frame) = self.next_frame().await? else {
                 return Err(self.explain_end().await);
             };
-            match self.reader.take(frame) {
-                Ok(FrameVerdict::Pass(body)) => return Ok(Some(body)),
-                Ok(FrameVerdict::Whole) => return Ok(None),
-                Ok(FrameVerdict::Drop) => metrics::counter!("ochreyard_entry_foreign_frames_total").increment(1),
+            match self.reader.accept(frame) {
+                Ok(FrameAction::Forward(body)) => return Ok(Some(body)),
+                Ok(FrameAction::Complete) => return Ok(None),
+                Ok(FrameAction::Drop) => metrics::counter!("ochreyard_entry_foreign_frames_total").increment(1),
                 Err(fault) => return Err(Refusal::new(ErrorKind::AnswerBroken).with_detail(fault.to_string())),
             }
         }
--- a/crates/ochreyard-entry/src/serve.rs
+++ b/crates/ochreyard-entry/src/serve.rs
@@ -12,7 +12,7 @@
 use ochreyard_core::config::Configuration;
 use ochreyard_core::drain::{Drain, Serving};
 use ochreyard_core::ids::Incarnation;
-use ochreyard_core::membership::SilenceLimits;
+use ochreyard_core::membership::HeartbeatTimeouts;
 use ochreyard_core::routing::Policy;
 use ochreyard_peer::{LocalThread, StateSource};
 use ochreyard_platform::HttpPlatform;
@@ -58,7 +58,7 @@
             "least_reported" => Policy::LeastReported,
             _ => Policy::Predicted,
         },
-        silence: SilenceLimits {
+        silence: HeartbeatTimeouts {
             suspect_after_ms: settings.number("suspect_after_ms"),
             down_after_ms: settings.number("down_after_ms"),
         },
--- a/crates/ochreyard-entry/src/state.rs
+++ b/crates/ochreyard-entry/src/state.rs
@@ -97,7 +97,7 @@
 
     /// Folds a page of the log that was asked for at `started_ms`.
     pub fn read_page(&mut self, page: &LogPage, started_ms: u64, now_ms: u64) -> Vec<FoldEvent> {
-        let events = self.fold.read(page);
+        let events = self.fold.fold_page(page);
         let has_snapshot = page.records.iter().any(|r| r.text.starts_with("{\"kind\":\"snapshot\""));
         if has_snapshot {
             self.snapshot_seen_ms = now_ms;
@@ -106,7 +106,7 @@
         if at_end && self.fold.status() == FoldStatus::Following {
             self.tail = Some(TailRead { started_ms, version: self.fold.version() });
         }
-        if events.iter().any(|event| matches!(event, FoldEvent::Version(_))) {
+        if events.iter().any(|event| matches!(event, FoldEvent::VersionInForce(_))) {
             self.follow_configuration();
         }
         events
@@ -190,14 +190,14 @@
 
     /// Notes that the link to an agent broke.
     pub fn link_broke(&mut self, endpoint: &EndpointId) {
-        self.membership.on_broken(endpoint);
+        self.membership.on_connection_lost(endpoint);
     }
 
     /// Notes what a refusal tells about its endpoint.
     pub fn learn_from(&mut self, endpoint: &EndpointId, refusal: &Refusal) {
         match refusal.kind {
             ErrorKind::Leaving => self.membership.on_leaving(endpoint),
-            ErrorKind::ConnectionLost => self.membership.on_broken(endpoint),
+            ErrorKind::ConnectionLost => self.membership.on_connection_lost(endpoint),
             _ => {}
         }
     }
@@ -211,7 +211,7 @@
     pub fn due_beats(&mut self, now_ms: u64) -> Vec<DueBeat> {
         let limits = self.identity.silence;
         for (endpoint, member) in self.membership.members() {
-            let silent = now_ms.saturating_sub(member.heard_ms) >= limits.down_after_ms;
+            let silent = now_ms.saturating_sub(member.last_report_ms) >= limits.down_after_ms;
             if let Some(peer) = self.peers.get(endpoint).filter(|_| silent) {
                 peer.link.reset();
             }
@@ -236,7 +236,7 @@
     fn beat_for(&self, endpoint: &EndpointId) -> Heartbeat {
         let entry = self.identity.entry.to_string();
         let member = self.membership.member(endpoint);
-        let fresh = member.zip(self.tail).filter(|(member, tail)| tail.started_ms > member.met_ms);
+        let fresh = member.zip(self.tail).filter(|(member, tail)| tail.started_ms > member.first_seen_ms);
         let (verified_for, tail_version) =
             fresh.map_or((Incarnation(0), 0), |(member, tail)| (member.report.incarnation, tail.version));
         Heartbeat { entry, verified_for, tail_version }
--- a/crates/ochreyard-entry/src/state/pick.rs
+++ b/crates/ochreyard-entry/src/state/pick.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::Ordering;
 
 use ochreyard_core::config::{Configuration, EndpointSpec};
-use ochreyard_core::error_kind::{ErrorKind, Refusal, Run};
+use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::hash;
-use ochreyard_core::home::{HomeAnswer, key_hash};
+use ochreyard_core::home::{KeyHome, key_hash};
 use ochreyard_core::ids::EndpointId;
 use ochreyard_core::membership::Health;
 use ochreyard_core::routing::{Candidate, choose_by};
@@ -32,15 +32,15 @@
 
     fn pick_home(&self, config: &Configuration, wanted: &Wanted, key: &str, now_ms: u64) -> Result<Target, Refusal> {
         // A key's earlier call may have run, so without its home nothing better can be claimed.
-        let unproved = |kind: ErrorKind| Refusal::new(kind).with_run(Run::MayHaveRun);
+        let unproved = |kind: ErrorKind| Refusal::new(kind).with_run(RunStatus::MayHaveRun);
         let hash = key_hash(wanted.workspace.as_str(), wanted.service.as_str(), key);
         match config.home_view(&wanted.workspace, &wanted.service).home_of(hash) {
-            HomeAnswer::At(home) if self.membership.health(&home, now_ms) < Health::Down => {
+            KeyHome::At(home) if self.membership.health(&home, now_ms) < Health::Down => {
                 self.target(&home).ok_or_else(|| unproved(ErrorKind::KeyHomeUnreachable))
             }
-            HomeAnswer::At(_) => Err(unproved(ErrorKind::KeyHomeUnreachable)),
-            HomeAnswer::Moving => Err(unproved(ErrorKind::KeyHomeMoving)),
-            HomeAnswer::Nowhere => Err(unproved(ErrorKind::NoEndpoint)),
+            KeyHome::At(_) => Err(unproved(ErrorKind::KeyHomeUnreachable)),
+            KeyHome::Moving => Err(unproved(ErrorKind::KeyHomeMoving)),
+            KeyHome::NoPermittedEndpoint => Err(unproved(ErrorKind::NoEndpoint)),
         }
     }
 
@@ -51,7 +51,7 @@
             .endpoints_of(&wanted.service)
             .filter(|spec| workspace.run_in.contains(&spec.data_centre))
             .filter(|spec| !wanted.tried.contains(&spec.endpoint))
-            .filter(|spec| self.membership.takes_work(&spec.endpoint, now_ms))
+            .filter(|spec| self.membership.accepts_work(&spec.endpoint, now_ms))
             .collect();
         let candidates: Vec<Candidate> = permitted.iter().map(|spec| self.candidate(spec, wanted, now_ms)).collect();
         let seed = hash::mix(self.identity.incarnation.0 ^ self.requests.wrapping_mul(31) ^ wanted.tried.len() as u64);
@@ -68,10 +68,10 @@
         Candidate {
             health: self.membership.health(&spec.endpoint, now_ms),
             own_in_flight: peer.map_or(0, |peer| peer.in_flight.load(Ordering::Relaxed)),
-            own_at_report: peer.map_or(0, |peer| peer.at_report),
+            own_in_flight_at_report: peer.map_or(0, |peer| peer.at_report),
             reported_running: member.report.running,
             reported_waiting: member.report.waiting,
-            report_age_ms: now_ms.saturating_sub(member.heard_ms),
+            report_age_ms: now_ms.saturating_sub(member.last_report_ms),
             slots: spec.slots,
             mean_run_ms: member.report.mean_run_ms,
             cached_permille: if holds { CACHED_PERMILLE } else { 0 },
--- a/crates/ochreyard-entry/src/state/report.rs
+++ b/crates/ochreyard-entry/src/state/report.rs
@@ -19,7 +19,7 @@
         late: bool,
         now_ms: u64,
     ) {
-        self.burn.entry((service, workspace)).or_default().count(failure, late, now_ms);
+        self.burn.entry((service, workspace)).or_default().record(failure, late, now_ms);
     }
 
     /// The system as this entry sees it.
@@ -45,7 +45,7 @@
         let member = self.membership.member(&spec.endpoint);
         let report = member.map(|m| m.report.clone()).unwrap_or_default();
         let health = match self.membership.health(&spec.endpoint, now_ms) {
-            Health::Alive if !self.membership.takes_work(&spec.endpoint, now_ms) => "leaving",
+            Health::Alive if !self.membership.accepts_work(&spec.endpoint, now_ms) => "leaving",
             Health::Alive => "alive",
             Health::Suspect => "suspect",
             Health::Down => "down",
@@ -67,7 +67,7 @@
         let objective = |service: &ServiceId| config.service(service).map_or(0, |spec| spec.objective_permille);
         let row = |((service, workspace), meter): (&(ServiceId, WorkspaceId), &mut BurnMeter)| {
             let objective_permille = objective(service);
-            let (short, long) = (meter.short(now_ms), meter.long(now_ms));
+            let (short, long) = (meter.short_window(now_ms), meter.long_window(now_ms));
             BurnRow {
                 service: service.to_string(),
                 workspace: workspace.to_string(),
--- a/crates/ochreyard-entry/src/state/types.rs
+++ b/crates/ochreyard-entry/src/state/types.rs
@@ -6,7 +6,7 @@
 
 use ochreyard_core::config::{Configuration, Delta};
 use ochreyard_core::ids::{BoxId, EndpointId, Incarnation, ServiceId, WorkspaceId};
-use ochreyard_core::membership::SilenceLimits;
+use ochreyard_core::membership::HeartbeatTimeouts;
 use ochreyard_core::routing::Policy;
 use ochreyard_peer::{AgentLink, Heartbeat};
 
@@ -24,7 +24,7 @@
     /// How an endpoint is picked.
     pub routing: Policy,
     /// How long silence lasts until an agent is suspected or taken for down.
-    pub silence: SilenceLimits,
+    pub silence: HeartbeatTimeouts,
 }
 
 /// A caller's request that may be routed.
--- a/crates/ochreyard-entry/src/upkeep.rs
+++ b/crates/ochreyard-entry/src/upkeep.rs
@@ -48,7 +48,7 @@
 
 fn note(event: &FoldEvent) {
     match event {
-        FoldEvent::Version(version) => {
+        FoldEvent::VersionInForce(version) => {
             metrics::gauge!("ochreyard_entry_config_version").set(*version as f64);
             log::info!("event=config_in_force version={version}");
         }
@@ -58,7 +58,7 @@
             metrics::counter!("ochreyard_entry_unreadable_records_total").increment(1);
             log::error!("event=record_unreadable offset={offset} problem=\"{problem}\"");
         }
-        FoldEvent::SnapshotPassedOver(offset) => log::info!("event=snapshot_passed_over offset={offset}"),
+        FoldEvent::SnapshotSkipped(offset) => log::info!("event=snapshot_passed_over offset={offset}"),
     }
 }
 
--- a/crates/ochreyard-operator/src/api.rs
+++ b/crates/ochreyard-operator/src/api.rs
@@ -9,7 +9,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use ochreyard_core::config::{ChangeFault, Plan};
+use ochreyard_core::config::{ChangeError, Plan};
 use ochreyard_core::error_kind::{ErrorKind, Refusal};
 use ochreyard_core::hash::sha256_hex;
 use ochreyard_core::ids::PlanId;
@@ -27,7 +27,7 @@
     pub message: String,
     /// Faults of the intent, if that is the cause.
     #[serde(default)]
-    pub faults: Vec<ChangeFault>,
+    pub faults: Vec<ChangeError>,
 }
 
 /// A failed operator's call.
@@ -36,7 +36,7 @@
     /// The refusal.
     pub refusal: Refusal,
     /// Faults of the intent.
-    pub faults: Vec<ChangeFault>,
+    pub faults: Vec<ChangeError>,
 }
 
 impl From<Refusal> for ControlError {
--- a/crates/ochreyard-operator/src/intent.rs
+++ b/crates/ochreyard-operator/src/intent.rs
@@ -1,6 +1,6 @@
 //! Reads an intent: YAML in, a checked change out.
 
-use ochreyard_core::config::{Change, ChangeFault, Configuration};
+use ochreyard_core::config::{Change, ChangeError, Configuration};
 
 /// Largest intent that is read, in bytes.
 pub const MAX_INTENT_BYTES: usize = 4 * 1024 * 1024;
@@ -20,17 +20,17 @@
 /// let faults = read("services: [{service: maps, kind: modle}]", &Configuration::default()).unwrap_err();
 /// assert!(faults[0].problem.contains("modle"));
 /// ```
-pub fn read(yaml: &str, base: &Configuration) -> Result<Change, Vec<ChangeFault>> {
+pub fn read(yaml: &str, base: &Configuration) -> Result<Change, Vec<ChangeError>> {
     if yaml.len() > MAX_INTENT_BYTES {
         let fix = format!("split it into parts of at most {MAX_INTENT_BYTES} bytes");
-        return Err(vec![ChangeFault::new("intent", "is too large", fix)]);
+        return Err(vec![ChangeError::new("intent", "is too large", fix)]);
     }
     let change: Change = serde_saphyr::from_str(yaml).map_err(|error| {
         let problem = error.to_string().replace('\n', " ");
-        vec![ChangeFault::new("intent", problem, "see docs/operators.md for the fields of an intent")]
+        vec![ChangeError::new("intent", problem, "see docs/operators.md for the fields of an intent")]
     })?;
     if change.is_empty() {
-        return Err(vec![ChangeFault::new("intent", "changes nothing", "name at least one object to put or remove")]);
+        return Err(vec![ChangeError::new("intent", "changes nothing", "name at least one object to put or remove")]);
     }
     base.check_change(&change)?;
     Ok(change)
--- a/crates/ochreyard-peer/src/convert.rs
+++ b/crates/ochreyard-peer/src/convert.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use capnp::Error;
-use ochreyard_core::admission::{Offer, OfferKey, RevokeAnswer};
-use ochreyard_core::error_kind::{ErrorKind, Refusal, Run};
+use ochreyard_core::admission::{IdempotencyKey, Offer, RevokeAnswer};
+use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::frame::{Frame, FrameBody};
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use ochreyard_core::membership::AgentReport;
@@ -29,7 +29,7 @@
 
 pub(crate) fn write_offer(mut to: offer::Builder<'_>, from: &Offer) {
     write_attempt(to.reborrow().init_attempt(), from.attempt);
-    to.set_to(from.to.0);
+    to.set_to(from.agent_incarnation.0);
     to.set_workspace(from.workspace.as_str());
     to.set_service(from.service.as_str());
     if let Some(key) = &from.key {
@@ -43,10 +43,10 @@
 
 pub(crate) fn read_offer(from: offer::Reader<'_>) -> Read<Offer> {
     let key = text(from.get_key()?)?;
-    let key = (!key.is_empty()).then(|| OfferKey { key, fingerprint: from.get_fingerprint() });
+    let key = (!key.is_empty()).then(|| IdempotencyKey { key, fingerprint: from.get_fingerprint() });
     Ok(Offer {
         attempt: read_attempt(from.get_attempt()?),
-        to: Incarnation(from.get_to()),
+        agent_incarnation: Incarnation(from.get_to()),
         workspace: text(from.get_workspace()?)?.into(),
         service: text(from.get_service()?)?.into(),
         key,
@@ -83,9 +83,9 @@
 pub(crate) fn read_refusal(from: refusal::Reader<'_>) -> Read<Refusal> {
     let kind = text(from.get_kind()?)?;
     let run = match text(from.get_run()?)?.as_str() {
-        "not-run" => Run::NotRun,
-        "ran" => Run::Ran,
-        _ => Run::MayHaveRun,
+        "not-run" => RunStatus::NotRun,
+        "ran" => RunStatus::Ran,
+        _ => RunStatus::MayHaveRun,
     };
     let Some(kind) = ErrorKind::from_name(&kind) else {
         return Ok(Refusal::new(ErrorKind::Internal).with_detail(format!("unknown kind `{kind}`")));
