--- a/crates/ochreyard-core/examples/heard_cost.rs
+++ b/crates/ochreyard-core/examples/heard_cost.rs
@@ -21,7 +21,7 @@
     let mut list = BoxList::default();
     for number in 0..boxes {
         let record = BoxRecord { addr: addr(number), data_centre: "a".to_owned(), cores_permille: 240, link_mbps: 40 };
-        list.take(&format!("box-{number}"), record);
+        list.insert(&format!("box-{number}"), record);
     }
     let started = Instant::now();
     for round in 0..ROUNDS {
--- a/crates/ochreyard-core/examples/pick_cost.rs
+++ b/crates/ochreyard-core/examples/pick_cost.rs
@@ -7,8 +7,8 @@
 use std::time::Instant;
 
 use ochreyard_core::direct::{
-    EndpointChange, EndpointPool, EndpointRecord, GroupNews, LimitWord, Pick, RankNews, RequestRate, Sharers,
-    TellerRole, Urgency,
+    EndpointChange, EndpointPool, EndpointRecord, GroupUpdate, LimitWord, Pick, RankUpdate, ReporterRole, RequestRate,
+    Sharers, Urgency,
 };
 
 const RANKS: [u16; 3] = [16, 96, 384];
@@ -28,7 +28,7 @@
 
 fn pick_us(pool: &EndpointPool) -> f64 {
     let started = Instant::now();
-    let picked = (0..PICKS).filter(|draw| pool.pick("brief", &[], Urgency::InAim, *draw, 1).is_ok()).count();
+    let picked = (0..PICKS).filter(|draw| pool.pick("brief", &[], Urgency::OnTime, *draw, 1).is_ok()).count();
     assert_eq!(picked as u64, PICKS, "most ranks have room");
     started.elapsed().as_secs_f64() * 1e6 / PICKS as f64
 }
@@ -43,21 +43,21 @@
             slots: SLOTS,
             is_leaving: false,
             cold_ms: 0,
-            born_ms: 1,
+            started_ms: 1,
         };
-        pool.apply(EndpointChange::Known(format!("i-{rank:010}"), record));
+        pool.apply(EndpointChange::Updated(format!("i-{rank:010}"), record));
     }
     let running = |rank: u16| if rank.is_multiple_of(10) { SLOTS + 1 } else { u64::from(rank) % SLOTS };
-    let news = |rank: u16| RankNews {
+    let news = |rank: u16| RankUpdate {
         endpoint: format!("i-{rank:010}"),
         running: running(rank),
         waiting: 0,
         pace_permille: 1_000,
     };
-    let group = GroupNews {
+    let group = GroupUpdate {
         service: "brief".to_owned(),
         group: "g0".to_owned(),
-        teller: TellerRole::Leads,
+        reporter_role: ReporterRole::Leads,
         is_serving: true,
         step_ms: 60,
         ranks: (0..ranks).map(news).collect(),
--- a/crates/ochreyard-core/src/direct.rs
+++ b/crates/ochreyard-core/src/direct.rs
@@ -4,59 +4,59 @@
 //! identity, so the attempt needs no home elsewhere: its whole story is in the
 //! entry that took it from the caller.
 
+mod allowed_regions;
 mod box_list;
 mod box_record;
 mod catalog;
-mod duty;
-mod endpoint_life;
+mod endpoint_incarnation;
 mod endpoint_pool;
 mod endpoint_record;
 mod endpoint_signals;
 mod evacuation;
 mod event_splitter;
 mod fingerprint;
-mod group_news;
-mod homes;
+mod group_update;
+mod log_progress;
+mod log_retry_backoff;
+mod poll_schedule;
 mod position;
 mod quarantine;
-mod questions;
-mod reading;
-mod repeat_budget;
-mod retry_pauses;
+mod read_role;
 mod roster_loads;
 mod route_table;
 mod shared_limit;
+mod shared_retry_budget;
 mod waiting;
 
+pub use allowed_regions::AllowedRegions;
 pub use box_list::BoxList;
 pub use box_record::BoxRecord;
 pub use catalog::{Catalog, EndpointChange};
-pub use duty::{Duty, Own, tells_all, tells_data_centre};
-pub use endpoint_life::EndpointLife;
+pub use endpoint_incarnation::EndpointIncarnation;
 pub use endpoint_pool::{Asking, EndpointPool, LimitUse, NoPick, Notice, Outcome, Pick, ReportedLoad, UnledGroups};
 pub use endpoint_record::EndpointRecord;
 pub use endpoint_signals::{EndpointSignals, backoff_ms};
-pub use evacuation::{EvacuationNews, Evacuations};
-pub use event_splitter::{EventSplitter, WholeEvents};
+pub use evacuation::{EvacuationUpdate, Evacuations};
+pub use event_splitter::{CompleteEvents, EventSplitter};
 pub use fingerprint::{Fingerprint, NoFingerprint};
-pub use group_news::{GroupNews, RankNews, TellerRole};
-pub use homes::Homes;
-pub use position::{NoPosition, Position};
+pub use group_update::{GroupUpdate, RankUpdate, ReporterRole};
+pub use log_progress::LogProgress;
+pub use log_retry_backoff::LogRetryBackoff;
+pub use poll_schedule::{PollSchedule, PollTargets};
+pub use position::{ParsePositionError, Position};
 pub use quarantine::{
     Clearance, ClearedNews, CrashNews, Judged, LostRequest, Quarantine, QuarantineNews, TrialNews, VerdictNews,
 };
-pub use questions::{Asked, Questions};
-pub use reading::Reading;
-pub use repeat_budget::{RepeatBudget, RepeatLimits};
-pub use retry_pauses::RetryPauses;
+pub use read_role::{LocalBox, ReadRole, broadcasts_to_data_centre, broadcasts_to_fleet};
 pub use roster_loads::RosterLoads;
 pub use route_table::{
-    CallerLimits, ColdFigures, EngineFigures, Route, RouteKind, RouteTable, ServiceSpec, WeightedService, Workspace,
+    CallerLimits, ColdLimits, EngineSpec, Route, RouteKind, RouteTable, ServiceSpec, WeightedService, Workspace,
 };
 pub use shared_limit::{
     DealtPart, LimitNews, LimitWord, Place, Quota, RequestRate, SharedLimit, Sharers, ToldLimit, limit,
 };
+pub use shared_retry_budget::{RetryBudgetLimits, SharedRetryBudget};
 pub use waiting::{
-    Arrival, Choice, Endings, Met, Patience, Seeker, ServiceQueue, ServiceTime, Stands, Ticket, Urgency, WaitFacts,
-    WaitingLine,
+    Arrival, DispatchDecision, Patience, PendingRequest, ServiceQueue, ServiceTime, StallHandling, StallHistory,
+    StallOutcomes, Ticket, Urgency, WaitFacts, WaitQueue,
 };
--- a/crates/ochreyard-core/src/direct/homes.rs
+++ b/crates/ochreyard-core/src/direct/allowed_regions.rs
@@ -6,12 +6,12 @@
 
 /// The regions in which requests may run.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Homes {
+pub struct AllowedRegions {
     /// `None` where all may.
     regions: Option<BTreeSet<String>>,
 }
 
-impl Homes {
+impl AllowedRegions {
     /// Every region.
     pub const ANY: Self = Self { regions: None };
 
@@ -24,7 +24,7 @@
 
     /// The regions that both allow, which may be none.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         let regions = match (&self.regions, &other.regions) {
             (Some(own), Some(others)) => Some(own.intersection(others).cloned().collect()),
             (own, others) => own.as_ref().or(others.as_ref()).cloned(),
@@ -34,7 +34,7 @@
 
     /// Whether requests may run in a region. One that is not known is allowed only where all are.
     #[must_use]
-    pub fn allow(&self, region: Option<&str>) -> bool {
+    pub fn allows(&self, region: Option<&str>) -> bool {
         self.regions.as_ref().is_none_or(|regions| region.is_some_and(|region| regions.contains(region)))
     }
 }
--- a/crates/ochreyard-core/src/direct/box_list.rs
+++ b/crates/ochreyard-core/src/direct/box_list.rs
@@ -24,7 +24,7 @@
 
 impl BoxList {
     /// Takes a record. Says whether that is news.
-    pub fn take(&mut self, name: &str, record: BoxRecord) -> bool {
+    pub fn insert(&mut self, name: &str, record: BoxRecord) -> bool {
         if self.records.get(name) == Some(&record) {
             return false;
         }
@@ -66,12 +66,12 @@
     }
 
     /// All boxes but those that answer no questions.
-    pub fn present(&self, now_ms: u64) -> impl Iterator<Item = (&str, &BoxRecord)> {
+    pub fn responsive(&self, now_ms: u64) -> impl Iterator<Item = (&str, &BoxRecord)> {
         self.iter().filter(move |(name, _)| !self.silences.is_silent(name, now_ms))
     }
 
     /// The box at `addr` left a question unanswered.
-    pub fn on_unanswered(&mut self, addr: SocketAddr, now_ms: u64) {
+    pub fn on_poll_unanswered(&mut self, addr: SocketAddr, now_ms: u64) {
         if let Some(name) = self.names.get(&addr) {
             self.silences.on_unanswered(name, now_ms);
         }
@@ -85,14 +85,14 @@
     }
 
     /// Another box says that this one answers no questions.
-    pub fn take_silent(&mut self, name: &str, now_ms: u64) {
+    pub fn apply_reported_silence(&mut self, name: &str, now_ms: u64) {
         if self.records.contains_key(name) {
             self.silences.take_told(name, now_ms);
         }
     }
 
     /// The boxes that left questions of this box unanswered.
-    pub fn silent(&self, now_ms: u64) -> impl Iterator<Item = &str> {
+    pub fn locally_silent(&self, now_ms: u64) -> impl Iterator<Item = &str> {
         self.silences.own(now_ms)
     }
 
@@ -103,7 +103,7 @@
 
     /// How many records have been learned so far.
     #[must_use]
-    pub fn learned(&self) -> usize {
+    pub fn learned_count(&self) -> usize {
         self.learned.len()
     }
 
--- a/crates/ochreyard-core/src/direct/catalog.rs
+++ b/crates/ochreyard-core/src/direct/catalog.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
     /// A new endpoint, or a changed one.
-    Known(String, EndpointRecord),
+    Updated(String, EndpointRecord),
     /// An endpoint that is gone.
-    Gone(String),
+    Removed(String),
 }
 
 /// The endpoints known from the log, or from another box that reads it.
@@ -48,7 +48,7 @@
     }
 
     /// The log cannot be read at present.
-    pub fn on_log_away(&mut self, now_ms: u64) {
+    pub fn on_log_unreachable(&mut self, now_ms: u64) {
         self.away_since_ms.get_or_insert(now_ms);
     }
 
@@ -63,7 +63,7 @@
     /// where it comes late.
     ///
     /// `noticed_ms` is `None` where this is the first era that is known.
-    pub fn on_return(&mut self, era: u64, noticed_ms: Option<u64>) {
+    pub fn on_log_restored(&mut self, era: u64, noticed_ms: Option<u64>) {
         self.era = era;
         self.copy_end = None;
         if let Some(noticed_ms) = noticed_ms {
@@ -73,7 +73,7 @@
     }
 
     /// Takes one record; `None` says that the endpoint has lost its entry.
-    pub fn take(
+    pub fn apply(
         &mut self,
         id: &str,
         position: Position,
@@ -108,7 +108,7 @@
             Some(record) => {
                 let was_unconfirmed = self.unconfirmed.remove(id);
                 let is_news = was_unconfirmed || known.as_ref() != Some(&record);
-                is_news.then(|| EndpointChange::Known(id.to_owned(), record))
+                is_news.then(|| EndpointChange::Updated(id.to_owned(), record))
             }
             // An entry that lapsed while the log was away says nothing of the endpoint:
             // it may write itself back.
@@ -116,17 +116,17 @@
                 self.unconfirmed.insert(id.to_owned());
                 None
             }
-            None => Some(EndpointChange::Gone(id.to_owned())),
+            None => Some(EndpointChange::Removed(id.to_owned())),
         }
     }
 
     /// Endpoints that did not write themselves back in time. Their time runs from the log's return, not from when this box
     /// read that a record had gone: one that leaves soon after an outage would get work for seconds too long.
-    pub fn overdue(&mut self, now_ms: u64) -> Vec<EndpointChange> {
+    pub fn expire_unconfirmed(&mut self, now_ms: u64) -> Vec<EndpointChange> {
         if self.is_settling(now_ms) {
             return Vec::new();
         }
-        std::mem::take(&mut self.unconfirmed).into_iter().map(EndpointChange::Gone).collect()
+        std::mem::take(&mut self.unconfirmed).into_iter().map(EndpointChange::Removed).collect()
     }
 
     /// The endpoints that changed at `from` or later, with the position of their change, as another box may take them over,
@@ -147,7 +147,7 @@
 
     /// What is told of one endpoint, and the position of its change; `None` where its entry lapsed and may come back.
     #[must_use]
-    pub fn told(&self, id: &str) -> Option<(Position, Option<&EndpointRecord>)> {
+    pub fn published(&self, id: &str) -> Option<(Position, Option<&EndpointRecord>)> {
         let kept = self.kept.get(id).filter(|_| !self.unconfirmed.contains(id))?;
         Some((kept.changed, kept.record.as_ref()))
     }
@@ -160,14 +160,14 @@
     }
 
     /// The log is listed whole, and ends here.
-    pub fn note_listing(&mut self, end: Position) {
+    pub fn on_listing_end(&mut self, end: Position) {
         if end.era == self.era {
             self.copy_end.get_or_insert(end);
         }
     }
 
     /// Endpoints that a whole reading of the log no longer lists are gone.
-    pub fn keep_only(&mut self, listed: &BTreeSet<String>, end: Position, now_ms: u64) -> Vec<EndpointChange> {
+    pub fn retain_listed(&mut self, listed: &BTreeSet<String>, end: Position, now_ms: u64) -> Vec<EndpointChange> {
         if end.era < self.era {
             return Vec::new();
         }
--- a/crates/ochreyard-core/src/direct/catalog/kept.rs
+++ b/crates/ochreyard-core/src/direct/catalog/kept.rs
@@ -72,5 +72,5 @@
 
 /// Whether a later record says that the same life of an endpoint leaves now.
 const fn begins_to_leave(known: &EndpointRecord, told: &EndpointRecord) -> bool {
-    told.born_ms == known.born_ms && told.is_leaving && !known.is_leaving
+    told.started_ms == known.started_ms && told.is_leaving && !known.is_leaving
 }
--- a/crates/ochreyard-core/src/direct/endpoint_life.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_incarnation.rs
@@ -7,15 +7,15 @@
 /// One that starts again may keep its identifier. It knows nothing of before, so nothing that was learned of
 /// the life before, or was sent to it, says anything of the next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct EndpointLife {
+pub struct EndpointIncarnation {
     /// Its identifier.
     pub id: String,
     /// When it started, by its own clock, in milliseconds since 1970; 0 where it does not tell. Clocks
     /// may be behind, so a later life need not have a higher number.
-    pub born_ms: u64,
+    pub started_ms: u64,
 }
 
-impl fmt::Display for EndpointLife {
+impl fmt::Display for EndpointIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.id)
     }
--- a/crates/ochreyard-core/src/direct/endpoint_pool.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool.rs
@@ -37,10 +37,10 @@
 pub use self::pick::Pick;
 pub use self::reported_load::ReportedLoad;
 pub use self::unled_groups::UnledGroups;
+use super::allowed_regions::AllowedRegions;
 use super::catalog::EndpointChange;
-use super::endpoint_life::EndpointLife;
+use super::endpoint_incarnation::EndpointIncarnation;
 use super::endpoint_record::EndpointRecord;
-use super::homes::Homes;
 use super::shared_limit::Sharers;
 
 /// After this time, what a leader told of its group says nothing more, in milliseconds.
@@ -53,7 +53,7 @@
     by_service: HashMap<String, Vec<String>>,
     groups: HashMap<String, Group>,
     /// What lives have asked for that have no record now: one that lapsed may come back.
-    parted: HashMap<EndpointLife, Parted>,
+    parted: HashMap<EndpointIncarnation, Parted>,
     /// The boxes that share limits.
     sharers: Sharers,
     cold_quotas: ColdQuotas,
@@ -79,15 +79,15 @@
     /// Follows a change of the catalog.
     pub fn apply(&mut self, change: EndpointChange) {
         match change {
-            EndpointChange::Known(id, record) => self.put(id, record),
-            EndpointChange::Gone(id) => self.remove(&id),
+            EndpointChange::Updated(id, record) => self.put(id, record),
+            EndpointChange::Removed(id) => self.remove(&id),
         }
     }
 
     fn put(&mut self, id: String, record: EndpointRecord) {
         if let Some(member) = self.members.get_mut(&id)
             && member.record.service == record.service
-            && member.record.born_ms == record.born_ms
+            && member.record.started_ms == record.started_ms
         {
             member.is_evacuated = self.evacuated.contains(&record.data_centre);
             member.record = record;
@@ -96,7 +96,7 @@
         self.remove(&id);
         self.by_service.entry(record.service.clone()).or_default().push(id.clone());
         self.events += 1;
-        let life = EndpointLife { id, born_ms: record.born_ms };
+        let life = EndpointIncarnation { id, started_ms: record.started_ms };
         let before = self.parted.remove(&life).unwrap_or_default();
         let cold = self.cold_bound(&life.id, &record.service);
         let mut member = Member::new(record, self.events, before, cold);
@@ -119,12 +119,12 @@
 
     /// How many endpoints of a service are not at home for requests with these homes.
     #[must_use]
-    pub fn endpoints_away(&self, service: &str, homes: &Homes) -> usize {
+    pub fn endpoints_away(&self, service: &str, homes: &AllowedRegions) -> usize {
         self.of_service(service).filter(|(_, member)| !self.is_home(homes, member)).count()
     }
 
-    fn is_home(&self, homes: &Homes, member: &Member) -> bool {
-        homes.allow(self.regions.get(&member.record.data_centre).map(String::as_str))
+    fn is_home(&self, homes: &AllowedRegions, member: &Member) -> bool {
+        homes.allows(self.regions.get(&member.record.data_centre).map(String::as_str))
     }
 
     /// The data centres whose endpoints get no request, in the order of their names.
@@ -136,7 +136,7 @@
         let Some(member) = self.members.remove(id) else { return };
         let parted = Parted { notice: member.notice, limit: member.limit };
         if !parted.is_empty() {
-            let life = EndpointLife { id: id.to_owned(), born_ms: member.record.born_ms };
+            let life = EndpointIncarnation { id: id.to_owned(), started_ms: member.record.started_ms };
             self.parted.insert(life, parted);
         }
         if let Some(ids) = self.by_service.get_mut(&member.record.service) {
@@ -162,11 +162,11 @@
 
     /// The endpoint that was picked, if it still lives the same life.
     fn picked(&self, pick: &Pick) -> Option<&Member> {
-        self.members.get(&pick.id).filter(|member| member.record.born_ms == pick.born_ms)
+        self.members.get(&pick.id).filter(|member| member.record.started_ms == pick.born_ms)
     }
 
     /// The same, to be changed.
     fn member_of(&mut self, pick: &Pick) -> Option<&mut Member> {
-        self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.born_ms)
+        self.members.get_mut(&pick.id).filter(|member| member.record.started_ms == pick.born_ms)
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/answers.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/answers.rs
@@ -73,7 +73,7 @@
     }
 
     fn notice_mut(&mut self, pick: &Pick) -> &mut Notice {
-        let member = self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.born_ms);
+        let member = self.members.get_mut(&pick.id).filter(|member| member.record.started_ms == pick.born_ms);
         match member {
             Some(member) => &mut member.notice,
             None => &mut self.parted.entry(pick.life()).or_default().notice,
--- a/crates/ochreyard-core/src/direct/endpoint_pool/choosing.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/choosing.rs
@@ -3,8 +3,8 @@
 use super::drawn_order::DrawnOrder;
 use super::group::Group;
 use super::{EndpointPool, Member, NoPick, Pick};
-use crate::direct::endpoint_life::EndpointLife;
-use crate::direct::homes::Homes;
+use crate::direct::allowed_regions::AllowedRegions;
+use crate::direct::endpoint_incarnation::EndpointIncarnation;
 use crate::direct::waiting::Urgency;
 
 /// Requests for each slot that an endpoint without a group may have, running and
@@ -35,12 +35,12 @@
     pub fn pick(
         &self,
         service: &str,
-        tried: &[EndpointLife],
+        tried: &[EndpointIncarnation],
         urgency: Urgency,
         draw: u64,
         now_ms: u64,
     ) -> Result<Pick, NoPick> {
-        self.pick_within(&Homes::ANY, service, tried, urgency, draw, now_ms)
+        self.pick_within(&AllowedRegions::ANY, service, tried, urgency, draw, now_ms)
     }
 
     /// Picks an endpoint of a service that is at home and not in `tried`: the least loaded of a few drawn ones.
@@ -51,9 +51,9 @@
     /// When nobody takes work, all have asked for a pause, have as much as they can serve in time or as their limits let this box send, or all groups stand.
     pub fn pick_within(
         &self,
-        homes: &Homes,
+        homes: &AllowedRegions,
         service: &str,
-        tried: &[EndpointLife],
+        tried: &[EndpointIncarnation],
         urgency: Urgency,
         draw: u64,
         now_ms: u64,
@@ -145,7 +145,7 @@
         let most = if self.group_of(member).is_some() { slots + GROUP_WAITING } else { slots * PLAIN_DEPTH };
         let limit = match urgency {
             Urgency::Late => most * LATE_DEPTH,
-            Urgency::InAim => most,
+            Urgency::OnTime => most,
         };
         member.admits_one_more(now_ms) && member.requests(now_ms).round() < limit
     }
@@ -177,9 +177,16 @@
     /// others take 200 ms in place of 65 for three to six seconds; once they are gone, steps
     /// are short again although the rank is as slow as before.
     #[must_use]
-    pub fn should_leave(&self, id: &str, homes: &Homes, service: &str, tried: &[EndpointLife], now_ms: u64) -> bool {
+    pub fn should_leave(
+        &self,
+        id: &str,
+        homes: &AllowedRegions,
+        service: &str,
+        tried: &[EndpointIncarnation],
+        now_ms: u64,
+    ) -> bool {
         let is_slow = |id: &str| self.members.get(id).is_some_and(|member| member.is_slow(now_ms));
-        let other = || self.pick_within(homes, service, tried, Urgency::InAim, 0, now_ms).ok();
+        let other = || self.pick_within(homes, service, tried, Urgency::OnTime, 0, now_ms).ok();
         is_slow(id) && other().is_some_and(|pick| pick.id != id && !is_slow(&pick.id))
     }
 }
@@ -187,7 +194,7 @@
 fn picked((id, member): (&str, &Member), urgency: Urgency) -> Pick {
     Pick {
         id: id.to_owned(),
-        born_ms: member.record.born_ms,
+        born_ms: member.record.started_ms,
         addr: member.record.addr,
         in_flight: member.in_flight,
         urgency,
--- a/crates/ochreyard-core/src/direct/endpoint_pool/cold.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/cold.rs
@@ -4,7 +4,7 @@
 
 use super::EndpointPool;
 use super::cold_bound::ColdBound;
-use crate::direct::route_table::{ColdFigures, RouteTable};
+use crate::direct::route_table::{ColdLimits, RouteTable};
 use crate::direct::shared_limit::{Place, Quota};
 
 /// The span over which the arrivals at a cold endpoint are summed, in milliseconds.
@@ -33,7 +33,7 @@
         self.by_service.get(service).copied()
     }
 
-    fn quota(&self, figures: ColdFigures) -> Quota {
+    fn quota(&self, figures: ColdLimits) -> Quota {
         let count = figures.requests_per_s * self.overage * SPAN_MS as f64 / MS_PER_S;
         Quota::within((count as u64).max(1), SPAN_MS)
     }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
@@ -1,7 +1,7 @@
 //! What this box knows of a group of endpoints whose ranks run every step together.
 
 use super::NEWS_LIFE_MS;
-use crate::direct::group_news::{GroupNews, RankNews, TellerRole};
+use crate::direct::group_update::{GroupUpdate, RankUpdate, ReporterRole};
 
 /// How long a group is passed over after one of its ranks told that another one
 /// is at fault, in milliseconds; its leader knows more by then.
@@ -50,12 +50,12 @@
     }
 
     /// Takes what was told of it. Says whether that counts: an observer knows less than a leader.
-    pub fn on_news(&mut self, news: &GroupNews, event: u64, now_ms: u64) -> bool {
-        match news.teller {
-            TellerRole::Leads => self.led_ms = Some(now_ms),
-            TellerRole::Observes if self.is_led(now_ms) => return false,
-            TellerRole::Observes => self.observed_ms = Some(now_ms),
-            TellerRole::StoodDown => {
+    pub fn on_news(&mut self, news: &GroupUpdate, event: u64, now_ms: u64) -> bool {
+        match news.reporter_role {
+            ReporterRole::Leads => self.led_ms = Some(now_ms),
+            ReporterRole::Observes if self.is_led(now_ms) => return false,
+            ReporterRole::Observes => self.observed_ms = Some(now_ms),
+            ReporterRole::StoodDown => {
                 self.led_ms = None;
                 return false;
             }
@@ -70,7 +70,7 @@
     }
 
     /// The ranks that news tell of, with their names.
-    pub fn ranks_of(&mut self, news: &GroupNews) -> Vec<RankNews> {
+    pub fn ranks_of(&mut self, news: &GroupUpdate) -> Vec<RankUpdate> {
         let Some(loads) = &news.loads else {
             self.roster = news.ranks.iter().map(|rank| rank.endpoint.clone()).collect();
             self.unnamed = 0;
--- a/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
@@ -5,7 +5,7 @@
 use super::group::Group;
 use super::{EndpointPool, Member, ReportedLoad, UnledGroups};
 use crate::direct::endpoint_record::EndpointRecord;
-use crate::direct::group_news::GroupNews;
+use crate::direct::group_update::GroupUpdate;
 
 impl EndpointPool {
     pub(super) fn group_of(&self, member: &Member) -> Option<&Group> {
@@ -23,7 +23,7 @@
     }
 
     /// A leader, or an observer, told of its group.
-    pub fn on_news(&mut self, news: &GroupNews, now_ms: u64) {
+    pub fn on_news(&mut self, news: &GroupUpdate, now_ms: u64) {
         let name = group_name(&news.service, &news.group);
         self.events += 1;
         let event = self.events;
--- a/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that hold for all boxes together, as this box keeps to them.
 
 use super::{EndpointPool, LimitUse, Member, Pick};
-use crate::direct::endpoint_life::EndpointLife;
+use crate::direct::endpoint_incarnation::EndpointIncarnation;
 use crate::direct::shared_limit::{LimitNews, LimitWord, SharedLimit, Sharers, ToldLimit};
 
 /// Milliseconds in a second.
@@ -34,8 +34,8 @@
         }
     }
 
-    fn limit_mut(&mut self, life: EndpointLife) -> &mut Option<SharedLimit> {
-        let member = self.members.get_mut(&life.id).filter(|member| member.record.born_ms == life.born_ms);
+    fn limit_mut(&mut self, life: EndpointIncarnation) -> &mut Option<SharedLimit> {
+        let member = self.members.get_mut(&life.id).filter(|member| member.record.started_ms == life.started_ms);
         match member {
             Some(member) => &mut member.limit,
             None => &mut self.parted.entry(life).or_default().limit,
@@ -74,7 +74,7 @@
         let place = self.sharers.place(&told.endpoint);
         let heard_ms = now_ms.saturating_sub(told.age_ms);
         let change = self.limit_changes + 1;
-        let life = EndpointLife { id: told.endpoint.clone(), born_ms: told.born_ms };
+        let life = EndpointIncarnation { id: told.endpoint.clone(), started_ms: told.born_ms };
         let slot = self.limit_mut(life);
         let is_news = match slot {
             Some(limit) => limit.on_told(told.rate, heard_ms),
@@ -99,8 +99,8 @@
     /// What was learned of limits after the first `changes` changes.
     #[must_use]
     pub fn limit_news_since(&self, changes: u64, now_ms: u64) -> LimitNews {
-        let members = self.members.iter().map(|(id, member)| (id, member.record.born_ms, &member.limit));
-        let parted = self.parted.iter().map(|(life, parted)| (&life.id, life.born_ms, &parted.limit));
+        let members = self.members.iter().map(|(id, member)| (id, member.record.started_ms, &member.limit));
+        let parted = self.parted.iter().map(|(life, parted)| (&life.id, life.started_ms, &parted.limit));
         let known = members.chain(parted).filter_map(|(id, born_ms, limit)| Some((id, born_ms, limit.as_ref()?)));
         let changed = known.filter(|(_, _, limit)| limit.change() > changes);
         LimitNews { limits: changed.map(|(id, born_ms, limit)| told(id, born_ms, limit, now_ms)).collect() }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
@@ -9,7 +9,7 @@
 use super::slow_start::SlowStart;
 use crate::direct::shared_limit::SharedLimit;
 use crate::direct::waiting::Urgency;
-use crate::direct::{EndpointLife, EndpointRecord};
+use crate::direct::{EndpointIncarnation, EndpointRecord};
 
 /// Weight of one more outcome in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.15;
@@ -114,8 +114,8 @@
     }
 
     /// Whether it is this life of the endpoint `id`.
-    pub fn is_life(&self, id: &str, life: &EndpointLife) -> bool {
-        life.id == id && life.born_ms == self.record.born_ms
+    pub fn is_life(&self, id: &str, life: &EndpointIncarnation) -> bool {
+        life.id == id && life.started_ms == self.record.started_ms
     }
 
     /// Whether it takes new work at all: it does not leave, and its data centre is not evacuated.
--- a/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::direct::waiting::Urgency;
-use crate::direct::{EndpointLife, EndpointRecord};
+use crate::direct::{EndpointIncarnation, EndpointRecord};
 
 /// The endpoint for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,12 +24,18 @@
     /// The endpoint `id` as its record says, for whoever asks of it without a request.
     #[must_use]
     pub fn of(id: &str, record: &EndpointRecord) -> Self {
-        Self { id: id.to_owned(), born_ms: record.born_ms, addr: record.addr, in_flight: 0, urgency: Urgency::InAim }
+        Self {
+            id: id.to_owned(),
+            born_ms: record.started_ms,
+            addr: record.addr,
+            in_flight: 0,
+            urgency: Urgency::OnTime,
+        }
     }
 
     /// The life of the endpoint that was picked.
     #[must_use]
-    pub fn life(&self) -> EndpointLife {
-        EndpointLife { id: self.id.clone(), born_ms: self.born_ms }
+    pub fn life(&self) -> EndpointIncarnation {
+        EndpointIncarnation { id: self.id.clone(), started_ms: self.born_ms }
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_record.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_record.rs
@@ -20,6 +20,6 @@
     /// How much longer it is slow from its start, in milliseconds.
     pub cold_ms: u64,
     /// When this life of it started, by its own clock, in milliseconds since 1970; 0 where it does not tell.
-    #[serde(default)]
-    pub born_ms: u64,
+    #[serde(default, rename = "born_ms")]
+    pub started_ms: u64,
 }
--- a/crates/ochreyard-core/src/direct/evacuation.rs
+++ b/crates/ochreyard-core/src/direct/evacuation.rs
@@ -1,12 +1,12 @@
 //! Data centres that operators evacuate: their endpoints get no request until the evacuation is taken back.
 
-mod evacuation_news;
 mod evacuation_state;
+mod evacuation_update;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-pub use self::evacuation_news::EvacuationNews;
 use self::evacuation_state::EvacuationState;
+pub use self::evacuation_update::EvacuationUpdate;
 use super::position::Position;
 
 /// How long an evacuation that the log lacks after it came back from an older copy stays in force, in milliseconds: the
@@ -34,7 +34,7 @@
 
 impl Evacuations {
     /// Takes one record, from the log or from another box. Says whether that is news.
-    pub fn take(&mut self, data_centre: &str, position: Position, is_in_force: bool, now_ms: u64) -> bool {
+    pub fn apply(&mut self, data_centre: &str, position: Position, is_in_force: bool, now_ms: u64) -> bool {
         // A listing shows that an evacuation is over by lacking it, so its end may stand at the same position.
         let is_news = self.known.get(data_centre).is_none_or(|known| {
             position > known.position || (position == known.position && known.state.is_in_force() && !is_in_force)
@@ -52,7 +52,7 @@
     }
 
     /// The log has come back from an older copy, which may lack what was in force.
-    pub fn on_return(&mut self, era: u64, now_ms: u64) {
+    pub fn on_log_restored(&mut self, era: u64, now_ms: u64) {
         self.era = self.era.max(era);
         let lost = self.known.values_mut().filter(|known| known.position.era < era);
         for known in lost.filter(|known| known.state == EvacuationState::InForce) {
@@ -61,7 +61,7 @@
     }
 
     /// Takes a whole listing of the log, after which reading goes on from `end`: the operator has taken back what it lacks.
-    pub fn keep_only(&mut self, listed: &BTreeSet<&str>, end: Position) {
+    pub fn retain_listed(&mut self, listed: &BTreeSet<&str>, end: Position) {
         let is_over = |name: &str, known: &Evacuation| {
             !listed.contains(name) && known.position.era == end.era && known.position < end
         };
@@ -71,7 +71,7 @@
     }
 
     /// Ends those that the log lacks for so long that nobody writes them again. Says whether there were any.
-    pub fn settle(&mut self, now_ms: u64) -> bool {
+    pub fn expire_missing(&mut self, now_ms: u64) -> bool {
         let mut has_ended = false;
         for known in self.known.values_mut() {
             if known.state.is_overdue(RETURN_GRACE_MS, now_ms) {
@@ -88,8 +88,8 @@
     }
 
     /// What other boxes are told.
-    pub fn news(&self) -> impl Iterator<Item = EvacuationNews> {
-        self.known.iter().map(|(name, known)| EvacuationNews {
+    pub fn updates(&self) -> impl Iterator<Item = EvacuationUpdate> {
+        self.known.iter().map(|(name, known)| EvacuationUpdate {
             data_centre: name.clone(),
             position: known.position,
             is_in_force: known.state.is_in_force(),
--- a/crates/ochreyard-core/src/direct/evacuation/evacuation_news.rs
+++ b/crates/ochreyard-core/src/direct/evacuation/evacuation_update.rs
@@ -6,7 +6,7 @@
 
 /// What one box tells another of the evacuation of a data centre.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EvacuationNews {
+pub struct EvacuationUpdate {
     /// The data centre.
     pub data_centre: String,
     /// Where the record stands in the log.
--- a/crates/ochreyard-core/src/direct/event_splitter.rs
+++ b/crates/ochreyard-core/src/direct/event_splitter.rs
@@ -5,7 +5,7 @@
 
 /// The events that are whole by now.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// Their bytes, unchanged.
     pub bytes: Bytes,
     /// How many there are.
@@ -35,24 +35,24 @@
 
     /// Whether part of an event waits for its rest.
     #[must_use]
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Bytes of the event that waits for its rest.
     #[must_use]
-    pub fn part_bytes(&self) -> usize {
+    pub fn partial_event_bytes(&self) -> usize {
         self.pending.len()
     }
 
     /// Drops the part of an event that will not become whole.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.pending.clear();
         self.searched = 0;
     }
 
     /// Adds bytes and takes out what has become whole.
-    pub fn push(&mut self, bytes: &[u8]) -> WholeEvents {
+    pub fn push(&mut self, bytes: &[u8]) -> CompleteEvents {
         self.pending.extend_from_slice(bytes);
         let mut count = 0;
         let mut whole_to = 0;
@@ -64,7 +64,7 @@
             at = end;
         }
         self.searched = (self.pending.len() - whole_to).saturating_sub(1);
-        WholeEvents { bytes: self.pending.split_to(whole_to).freeze(), count }
+        CompleteEvents { bytes: self.pending.split_to(whole_to).freeze(), count }
     }
 
     /// Where the event that holds byte `from` ends: after an empty line.
--- a/crates/ochreyard-core/src/direct/group_news.rs
+++ b/crates/ochreyard-core/src/direct/group_update.rs
@@ -6,7 +6,7 @@
 
 /// What the entry that tells of a group does there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub enum TellerRole {
+pub enum ReporterRole {
     /// It leads: most agents have granted it.
     #[default]
     Leads,
@@ -18,13 +18,14 @@
 
 /// One group, as an entry saw it a moment ago.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub struct GroupNews {
+pub struct GroupUpdate {
     /// Name of the service.
     pub service: String,
     /// Name of the group.
     pub group: String,
     /// What the entry that tells does there.
-    pub teller: TellerRole,
+    #[serde(rename = "teller")]
+    pub reporter_role: ReporterRole,
     /// Whether its steps go on: it is whole, and does not stand.
     pub is_serving: bool,
     /// How long its steps take of late, in milliseconds; 0 where that is not known.
@@ -32,13 +33,13 @@
     pub step_ms: u64,
     /// Its ranks, as far as their endpoints are known; empty where their loads are told without their names.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub ranks: Vec<RankNews>,
+    pub ranks: Vec<RankUpdate>,
     /// Their loads, for boxes that know their names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub loads: Option<RosterLoads>,
 }
 
-impl GroupNews {
+impl GroupUpdate {
     /// The same without the names of the ranks.
     #[must_use]
     pub fn without_names(&self) -> Self {
@@ -56,7 +57,7 @@
 /// tells dozens of boxes of dozens of ranks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RankNewsList", into = "RankNewsList")]
-pub struct RankNews {
+pub struct RankUpdate {
     /// Identifier of its endpoint.
     pub endpoint: String,
     /// Requests that it runs.
@@ -70,14 +71,14 @@
 /// Endpoint, running, waiting, pace in thousandths.
 type RankNewsList = (String, u64, u64, u64);
 
-impl From<RankNewsList> for RankNews {
+impl From<RankNewsList> for RankUpdate {
     fn from((endpoint, running, waiting, pace_permille): RankNewsList) -> Self {
         Self { endpoint, running, waiting, pace_permille }
     }
 }
 
-impl From<RankNews> for RankNewsList {
-    fn from(news: RankNews) -> Self {
+impl From<RankUpdate> for RankNewsList {
+    fn from(news: RankUpdate) -> Self {
         (news.endpoint, news.running, news.waiting, news.pace_permille)
     }
 }
--- a/crates/ochreyard-core/src/direct/reading.rs
+++ b/crates/ochreyard-core/src/direct/log_progress.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use super::box_list::BoxList;
-use super::duty::{Own, source};
 use super::position::Position;
+use super::read_role::{LocalBox, source};
 
 /// Knowledge may be as old as this many pauses between readings before a box reads
 /// for itself: one pause of the reader, one between two questions, and one to spare.
@@ -20,7 +20,7 @@
 
 /// How far and how recently the records of endpoints were read, here or by another box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Reading {
+pub struct LogProgress {
     pause_ms: u64,
     next: Option<Position>,
     as_of_ms: u64,
@@ -31,7 +31,7 @@
     fresh_answers: u32,
 }
 
-impl Reading {
+impl LogProgress {
     /// Nothing is known yet. An endpoint that leaves must get no more work after
     /// `leaving_known_ms`.
     #[must_use]
@@ -54,13 +54,13 @@
 
     /// The time in which an endpoint that leaves must get no more work, in milliseconds.
     #[must_use]
-    pub const fn in_time_ms(&self) -> u64 {
+    pub const fn leave_propagation_ms(&self) -> u64 {
         self.pause_ms * READINGS_IN_TIME
     }
 
     /// Where to read on; `None` before the first reading.
     #[must_use]
-    pub const fn next(&self) -> Option<Position> {
+    pub const fn next_position(&self) -> Option<Position> {
         self.next
     }
 
@@ -85,7 +85,7 @@
     /// Takes over how far another box has come, by what it told. Says whether that is fresh; else another one is asked next
     /// time. One that tells less may have asked the log earlier, and is as good to rely on while that is fresh; one that
     /// asked later and tells less is wrong.
-    pub fn take_told(&mut self, next: Position, as_of_ms: u64, now_ms: u64) -> bool {
+    pub fn apply_peer_progress(&mut self, next: Position, as_of_ms: u64, now_ms: u64) -> bool {
         let is_behind = as_of_ms > self.as_of_ms && self.next.is_some_and(|known| next < known);
         let is_fresh = self.counts_as_fresh(as_of_ms, now_ms) && !is_behind;
         if is_fresh {
@@ -93,14 +93,14 @@
             self.told_ms = Some(now_ms);
             self.note_fresh_answer();
         } else {
-            self.pass_over();
+            self.skip_source();
         }
         is_fresh
     }
 
     /// Whether another box has told something fresh of late.
     #[must_use]
-    pub fn is_told(&self, now_ms: u64) -> bool {
+    pub fn has_fresh_peer(&self, now_ms: u64) -> bool {
         self.told_ms.is_some_and(|told_ms| now_ms < told_ms + self.pause_ms * FRESH_PAUSES)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// The box that was asked gave no answer: the next one is asked.
-    pub const fn pass_over(&mut self) {
+    pub const fn skip_source(&mut self) {
         self.passed_over = self.passed_over.wrapping_add(1);
         self.fresh_answers = 0;
     }
@@ -133,7 +133,7 @@
 
     /// The box to ask, of all `others`; `None` where the box `own` reads the log for the others.
     #[must_use]
-    pub fn box_to_ask(&self, own: Own, others: &BoxList, now_ms: u64) -> Option<SocketAddr> {
+    pub fn source(&self, own: LocalBox, others: &BoxList, now_ms: u64) -> Option<SocketAddr> {
         source(own, others, self.passed_over, now_ms)
     }
 }
--- a/crates/ochreyard-core/src/direct/position.rs
+++ b/crates/ochreyard-core/src/direct/position.rs
@@ -40,7 +40,7 @@
 
 /// A text that names no position.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum NoPosition {
+pub enum ParsePositionError {
     /// It is not two numbers with a point between them.
     #[error("`{0}` is not ERA.OFFSET")]
     Form(String),
@@ -50,10 +50,10 @@
 }
 
 impl FromStr for Position {
-    type Err = NoPosition;
+    type Err = ParsePositionError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (era, offset) = text.split_once('.').ok_or_else(|| NoPosition::Form(text.to_owned()))?;
+        let (era, offset) = text.split_once('.').ok_or_else(|| ParsePositionError::Form(text.to_owned()))?;
         Ok(Self { era: era.parse()?, offset: offset.parse()? })
     }
 }
--- a/crates/ochreyard-core/src/direct/duty.rs
+++ b/crates/ochreyard-core/src/direct/read_role.rs
@@ -19,7 +19,7 @@
 
 /// The box that looks for its duty.
 #[derive(Debug, Clone, Copy)]
-pub struct Own<'a> {
+pub struct LocalBox<'a> {
     /// Its name.
     pub name: &'a str,
     /// The data centre that it stands in.
@@ -28,41 +28,41 @@
 
 /// What a box does to know what the platform's log holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum ReadRole {
     /// It reads the log for all.
-    Reads,
+    Reader,
     /// It asks those that read, for the others of its data centre. It also waits at the log for what operators write.
-    Relays,
+    Relay,
     /// It asks those that relay.
-    Told,
+    Follower,
 }
 
-impl Duty {
+impl ReadRole {
     /// The duty of the box `own` among all `others`. Those that answer nobody have none.
     #[must_use]
-    pub fn of(own: Own, others: &BoxList, now_ms: u64) -> Self {
+    pub fn of(own: LocalBox, others: &BoxList, now_ms: u64) -> Self {
         let before =
             |others: &mut dyn Iterator<Item = &str>| others.filter(|name| place(name) < place(own.name)).count();
-        if before(&mut others.present(now_ms).map(|(name, _)| name)) < READERS {
-            return Self::Reads;
+        if before(&mut others.responsive(now_ms).map(|(name, _)| name)) < READERS {
+            return Self::Reader;
         }
         let is_near = |(_, record): &(&str, &BoxRecord)| record.data_centre == own.data_centre;
-        let is_first = before(&mut others.present(now_ms).filter(is_near).map(|(name, _)| name)) < RELAYS;
-        if is_first { Self::Relays } else { Self::Told }
+        let is_first = before(&mut others.responsive(now_ms).filter(is_near).map(|(name, _)| name)) < RELAYS;
+        if is_first { Self::Relay } else { Self::Follower }
     }
 }
 
 /// Whether the box `own` is the one that tells the others of its data centre of news: the first one that answers.
 #[must_use]
-pub fn tells_data_centre(own: Own, others: &BoxList, now_ms: u64) -> bool {
-    let mut near = others.present(now_ms).filter(|(_, record)| record.data_centre == own.data_centre);
+pub fn broadcasts_to_data_centre(own: LocalBox, others: &BoxList, now_ms: u64) -> bool {
+    let mut near = others.responsive(now_ms).filter(|(_, record)| record.data_centre == own.data_centre);
     near.all(|(name, _)| place(own.name) < place(name))
 }
 
 /// Whether the box `own` is the first one that reads for all.
 #[must_use]
-pub fn tells_all(own: Own, others: &BoxList, now_ms: u64) -> bool {
-    others.present(now_ms).all(|(name, _)| place(own.name) < place(name))
+pub fn broadcasts_to_fleet(own: LocalBox, others: &BoxList, now_ms: u64) -> bool {
+    others.responsive(now_ms).all(|(name, _)| place(own.name) < place(name))
 }
 
 /// The place of a box in the order that all boxes find by themselves.
@@ -72,9 +72,9 @@
 
 /// The box that `own` asks after it has passed over `passed_over` others that had nothing fresh to tell: first those that it
 /// is meant to rely on, then all others. `None` where it reads itself, or knows no other.
-pub(super) fn source(own: Own, others: &BoxList, passed_over: usize, now_ms: u64) -> Option<SocketAddr> {
-    let duty = Duty::of(own, others, now_ms);
-    if duty == Duty::Reads {
+pub(super) fn source(own: LocalBox, others: &BoxList, passed_over: usize, now_ms: u64) -> Option<SocketAddr> {
+    let duty = ReadRole::of(own, others, now_ms);
+    if duty == ReadRole::Reader {
         return None;
     }
     let at = passed_over.checked_rem(others.len())?;
@@ -89,10 +89,12 @@
 }
 
 /// The boxes that `own` is meant to rely on, half of all boxes each in another order.
-fn meant_sources(own: Own, duty: Duty, others: &BoxList, now_ms: u64) -> Vec<SocketAddr> {
-    let near = others.present(now_ms).filter(|(_, record)| duty == Duty::Told && record.data_centre == own.data_centre);
+fn meant_sources(own: LocalBox, duty: ReadRole, others: &BoxList, now_ms: u64) -> Vec<SocketAddr> {
+    let near = others
+        .responsive(now_ms)
+        .filter(|(_, record)| duty == ReadRole::Follower && record.data_centre == own.data_centre);
     let mut meant = Vec::with_capacity(RELAYS + READERS);
-    for mut sources in [first(near, RELAYS), first(others.present(now_ms), READERS)] {
+    for mut sources in [first(near, RELAYS), first(others.responsive(now_ms), READERS)] {
         let turn = usize::try_from(place(own.name) % sources.len().max(1) as u64).unwrap_or(0);
         sources.rotate_left(turn);
         meant.extend(sources);
--- a/crates/ochreyard-core/src/direct/roster_loads.rs
+++ b/crates/ochreyard-core/src/direct/roster_loads.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::group_news::RankNews;
+use super::group_update::RankUpdate;
 use crate::hash;
 
 /// The first character of a number; greater numbers are the characters after it.
@@ -32,10 +32,10 @@
 impl RosterLoads {
     /// The loads of these ranks.
     #[must_use]
-    pub fn of(ranks: &[RankNews]) -> Self {
+    pub fn of(ranks: &[RankUpdate]) -> Self {
         let character = |number: u64| char::from(ZERO + number.min(MOST) as u8);
         let loads = ranks.iter().flat_map(|rank| [character(rank.running), character(rank.waiting)]).collect();
-        let is_unusual = |(_, rank): &(usize, &RankNews)| rank.pace_permille != USUAL_PACE_PERMILLE;
+        let is_unusual = |(_, rank): &(usize, &RankUpdate)| rank.pace_permille != USUAL_PACE_PERMILLE;
         let unusual = ranks.iter().enumerate().filter(is_unusual);
         let paces = unusual.filter_map(|(at, rank)| Some((u16::try_from(at).ok()?, rank.pace_permille))).collect();
         Self { roster: digest_of(ranks.iter().map(|rank| rank.endpoint.as_str())), loads, paces }
@@ -55,17 +55,17 @@
 
     /// The ranks, by the names of the roster; `None` where these are of another one.
     #[must_use]
-    pub fn named(&self, names: &[String]) -> Option<Vec<RankNews>> {
+    pub fn named(&self, names: &[String]) -> Option<Vec<RankUpdate>> {
         let is_own = digest_of(names.iter().map(String::as_str)) == self.roster && self.len() == names.len();
         if !is_own {
             return None;
         }
         let number = |byte: u8| u64::from(byte.saturating_sub(ZERO));
         let loads = self.loads.as_bytes().chunks_exact(CHARACTERS);
-        let mut ranks: Vec<RankNews> = names
+        let mut ranks: Vec<RankUpdate> = names
             .iter()
             .zip(loads)
-            .map(|(name, load)| RankNews {
+            .map(|(name, load)| RankUpdate {
                 endpoint: name.clone(),
                 running: number(load[0]),
                 waiting: number(load[1]),
--- a/crates/ochreyard-core/src/direct/route_table.rs
+++ b/crates/ochreyard-core/src/direct/route_table.rs
@@ -1,8 +1,8 @@
 //! Which route a request takes, and whose request it is.
 
 mod caller_limits;
-mod cold_figures;
-mod engine_figures;
+mod cold_limits;
+mod engine_spec;
 mod route;
 mod route_kind;
 mod service_spec;
@@ -13,8 +13,8 @@
 use std::sync::Arc;
 
 pub use self::caller_limits::CallerLimits;
-pub use self::cold_figures::ColdFigures;
-pub use self::engine_figures::EngineFigures;
+pub use self::cold_limits::ColdLimits;
+pub use self::engine_spec::EngineSpec;
 pub use self::route::Route;
 pub use self::route_kind::RouteKind;
 pub use self::service_spec::ServiceSpec;
@@ -112,7 +112,7 @@
 
     /// The shortest pause between events that a route of a service allows, in milliseconds.
     #[must_use]
-    pub fn pause_aim_ms(&self, service: &str) -> Option<u64> {
+    pub fn target_gap_ms(&self, service: &str) -> Option<u64> {
         self.pause_aims_ms.get(service).copied()
     }
 
--- a/crates/ochreyard-core/src/direct/route_table/engine_figures.rs
+++ b/crates/ochreyard-core/src/direct/route_table/engine_spec.rs
@@ -4,7 +4,7 @@
 
 /// What the configuration tells of the engines of a model service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, Default)]
-pub struct EngineFigures {
+pub struct EngineSpec {
     /// Requests that one engine runs at once.
     pub slots: u64,
     /// Passes for each event of a stream.
--- a/crates/ochreyard-core/src/direct/route_table/route.rs
+++ b/crates/ochreyard-core/src/direct/route_table/route.rs
@@ -4,7 +4,7 @@
 
 use super::route_kind::RouteKind;
 use super::weighted_service::WeightedService;
-use crate::direct::homes::Homes;
+use crate::direct::allowed_regions::AllowedRegions;
 
 /// One route of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,8 +34,8 @@
     /// Whether it may be used without a key.
     pub public: bool,
     /// Where its requests may run.
-    #[serde(default)]
-    pub homes: Homes,
+    #[serde(default, rename = "homes")]
+    pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
--- a/crates/ochreyard-core/src/direct/route_table/service_spec.rs
+++ b/crates/ochreyard-core/src/direct/route_table/service_spec.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::cold_figures::ColdFigures;
-use super::engine_figures::EngineFigures;
+use super::cold_limits::ColdLimits;
+use super::engine_spec::EngineSpec;
 
 /// One service of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -13,8 +13,8 @@
     /// Connections that one endpoint accepts from all boxes together.
     pub max_connections: u64,
     /// Figures of its engines, for model services.
-    pub engine: Option<EngineFigures>,
+    pub engine: Option<EngineSpec>,
     /// What its endpoints bear while they are cold, where that is bounded.
     #[serde(default)]
-    pub cold: Option<ColdFigures>,
+    pub cold: Option<ColdLimits>,
 }
--- a/crates/ochreyard-core/src/direct/route_table/workspace.rs
+++ b/crates/ochreyard-core/src/direct/route_table/workspace.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::direct::homes::Homes;
+use crate::direct::allowed_regions::AllowedRegions;
 
 /// A workspace and its standing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,6 +12,6 @@
     /// Goes before the priority of the route, if given.
     pub priority: Option<u64>,
     /// Where its requests may run.
-    #[serde(default)]
-    pub homes: Homes,
+    #[serde(default, rename = "homes")]
+    pub allowed_regions: AllowedRegions,
 }
--- a/crates/ochreyard-core/src/direct/repeat_budget.rs
+++ b/crates/ochreyard-core/src/direct/shared_retry_budget.rs
@@ -8,7 +8,7 @@
 
 /// Figures of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryBudgetLimits {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats that all boxes together may send in a window beyond the ratio.
@@ -32,16 +32,16 @@
 
 /// Counts requests and repeats by service in a sliding window.
 #[derive(Debug, Clone)]
-pub struct RepeatBudget {
-    limits: RepeatLimits,
+pub struct SharedRetryBudget {
+    limits: RetryBudgetLimits,
     boxes: u64,
     windows: HashMap<String, VecDeque<Slice>>,
 }
 
-impl RepeatBudget {
+impl SharedRetryBudget {
     /// A budget that is shared with `boxes` boxes, this one included.
     #[must_use]
-    pub fn new(limits: RepeatLimits, boxes: u64) -> Self {
+    pub fn new(limits: RetryBudgetLimits, boxes: u64) -> Self {
         Self { limits, boxes: boxes.max(1), windows: HashMap::new() }
     }
 
@@ -57,7 +57,7 @@
 
     /// Whether one repeat is left.
     #[must_use]
-    pub fn has_one(&self, service: &str, now_ms: u64) -> bool {
+    pub fn has_retry(&self, service: &str, now_ms: u64) -> bool {
         let number = self.slice_number(now_ms);
         let recent = || self.windows.get(service).into_iter().flatten().filter(|s| s.number + SLICES >= number);
         let requests: u64 = recent().map(|slice| slice.requests).sum();
@@ -70,7 +70,7 @@
     /// Takes one repeat, or says that none is left.
     #[must_use]
     pub fn try_take(&mut self, service: &str, now_ms: u64) -> bool {
-        let has_one = self.has_one(service, now_ms);
+        let has_one = self.has_retry(service, now_ms);
         if has_one {
             self.slice(service, now_ms).repeats += 1;
         }
--- a/crates/ochreyard-core/src/direct/waiting.rs
+++ b/crates/ochreyard-core/src/direct/waiting.rs
@@ -9,26 +9,26 @@
 //! a bounded part of the places, in which they do not hold up those who come next.
 
 mod arrival;
-mod choice;
 mod decaying_count;
-mod endings;
+mod dispatch_decision;
 mod limited_turns;
-mod line;
 mod overload;
 mod patience;
 mod service_queue;
 mod service_time;
-mod stand;
+mod stall_history;
+mod stall_outcomes;
+mod wait_queue;
 
 pub use arrival::Arrival;
-pub use choice::{Choice, Seeker};
-pub use endings::{Endings, Met};
-pub use line::{Ticket, WaitingLine};
+pub use dispatch_decision::{DispatchDecision, PendingRequest};
 pub use overload::Overload;
 pub use patience::Patience;
 pub use service_queue::ServiceQueue;
 pub use service_time::ServiceTime;
-pub use stand::Stands;
+pub use stall_history::StallHistory;
+pub use stall_outcomes::{StallHandling, StallOutcomes};
+pub use wait_queue::{Ticket, WaitQueue};
 
 use super::endpoint_pool::NoPick;
 
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
     /// It can still be answered in its aim.
-    InAim,
+    OnTime,
     /// It can only be answered late.
     Late,
 }
--- a/crates/ochreyard-core/src/direct/waiting/arrival.rs
+++ b/crates/ochreyard-core/src/direct/waiting/arrival.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
     /// Until when it can be sent and still be answered in its aim.
-    pub in_aim_until_ms: u64,
+    pub on_time_until_ms: u64,
     /// Whether its caller has asked before.
-    pub has_come_back: bool,
+    pub is_caller_retry: bool,
 }
--- a/crates/ochreyard-core/src/direct/waiting/decaying_count.rs
+++ b/crates/ochreyard-core/src/direct/waiting/decaying_count.rs
@@ -16,7 +16,7 @@
     }
 
     /// Counts an event.
-    pub fn note(&mut self, now_ms: u64) {
+    pub fn record(&mut self, now_ms: u64) {
         self.count = self.at(now_ms) + 1.0;
         self.noted_ms = now_ms;
     }
--- a/crates/ochreyard-core/src/direct/waiting/choice.rs
+++ b/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
@@ -2,19 +2,19 @@
 
 use super::limited_turns::LimitedTurns;
 use super::{Arrival, Patience, ServiceQueue, Ticket, Urgency, WaitFacts};
-use crate::direct::endpoint_life::EndpointLife;
+use crate::direct::allowed_regions::AllowedRegions;
+use crate::direct::endpoint_incarnation::EndpointIncarnation;
 use crate::direct::endpoint_pool::{EndpointPool, NoPick, Pick};
-use crate::direct::homes::Homes;
 
 /// A request that looks for an endpoint.
 #[derive(Debug, Clone, Copy)]
-pub struct Seeker<'a> {
+pub struct PendingRequest<'a> {
     /// Its service.
     pub service: &'a str,
     /// Where it may run.
-    pub homes: &'a Homes,
+    pub allowed_regions: &'a AllowedRegions,
     /// Endpoints that were tried.
-    pub tried: &'a [EndpointLife],
+    pub tried: &'a [EndpointIncarnation],
     /// How it arrived.
     pub arrival: Arrival,
     /// When its time ends.
@@ -29,19 +29,19 @@
     pub ticket: Option<Ticket>,
 }
 
-impl Seeker<'_> {
+impl PendingRequest<'_> {
     /// How soon it has to go.
     #[must_use]
     pub const fn urgency(&self, now_ms: u64) -> Urgency {
-        if now_ms < self.arrival.in_aim_until_ms { Urgency::InAim } else { Urgency::Late }
+        if now_ms < self.arrival.on_time_until_ms { Urgency::OnTime } else { Urgency::Late }
     }
 }
 
 /// What a request that looks for an endpoint does.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Choice {
+pub enum DispatchDecision {
     /// It goes to this endpoint.
-    Go(Pick),
+    Send(Pick),
     /// It waits.
     Wait(WaitFacts),
     /// It is given up.
@@ -51,17 +51,24 @@
 impl ServiceQueue {
     /// What a request does now, where `boxes` boxes share the endpoints; `draw` is any evenly
     /// spread number.
-    pub fn choose(&mut self, pool: &EndpointPool, boxes: u64, seeker: &Seeker, draw: u64, now_ms: u64) -> Choice {
+    pub fn decide(
+        &mut self,
+        pool: &EndpointPool,
+        boxes: u64,
+        seeker: &PendingRequest,
+        draw: u64,
+        now_ms: u64,
+    ) -> DispatchDecision {
         let no_pick = match self.pick_in_turn(pool, boxes, seeker, draw, now_ms) {
             Ok(pick) => {
-                self.stands.note(false, now_ms);
+                self.stalls.record(false, now_ms);
                 self.overload.on_taken(seeker.urgency(now_ms), now_ms);
-                return Choice::Go(pick);
+                return DispatchDecision::Send(pick);
             }
             Err(no_pick) => self.turn_under_limits(no_pick, pool, seeker, now_ms),
         };
         let is_down = pool.is_down(seeker.service, now_ms);
-        self.stands.note(is_down, now_ms);
+        self.stalls.record(is_down, now_ms);
         if is_down {
             self.overload.reset();
         } else if no_pick == NoPick::Full {
@@ -70,14 +77,14 @@
         let facts = WaitFacts {
             no_pick,
             left_ms: seeker.deadline_ms.saturating_sub(now_ms),
-            needed_ms: self.time.after_wait_ms().unwrap_or(seeker.aim_ms),
-            has_served: self.time.after_wait_ms().is_some(),
+            needed_ms: self.service_time.estimate_after_wait_ms().unwrap_or(seeker.aim_ms),
+            has_served: self.service_time.estimate_after_wait_ms().is_some(),
             is_worth_it: !is_down || seeker.ticket.is_some() || self.is_holding_worth_it(now_ms),
             stands_for_ms: match no_pick {
                 NoPick::Paused { until_ms } => until_ms.saturating_sub(now_ms),
                 // Who waits already was let in by what was expected then.
                 _ if seeker.ticket.is_some() => 0,
-                _ => self.stands.rest_ms(now_ms),
+                _ => self.stalls.expected_remaining_ms(now_ms),
             },
             queue_ms: match no_pick {
                 NoPick::Full => self.queue_ms(seeker, now_ms),
@@ -85,21 +92,27 @@
                 _ => 0,
             },
             silent_ms: now_ms.saturating_sub(seeker.silent_since_ms),
-            patience_ms: self.patience.limit_ms().or_else(|| seeker.patience_ms.map(Patience::held_ms)),
-            has_come_back: seeker.arrival.has_come_back,
+            patience_ms: self.patience.hold_limit_ms().or_else(|| seeker.patience_ms.map(Patience::hold_limit_for)),
+            has_come_back: seeker.arrival.is_caller_retry,
         };
-        if facts.may_wait() { Choice::Wait(facts) } else { Choice::GiveUp(facts) }
+        if facts.may_wait() { DispatchDecision::Wait(facts) } else { DispatchDecision::GiveUp(facts) }
     }
 
     /// Where limits leave no turn now: when the turn of this request comes, after those that go before it.
-    fn turn_under_limits(&mut self, no_pick: NoPick, pool: &EndpointPool, seeker: &Seeker, now_ms: u64) -> NoPick {
+    fn turn_under_limits(
+        &mut self,
+        no_pick: NoPick,
+        pool: &EndpointPool,
+        seeker: &PendingRequest,
+        now_ms: u64,
+    ) -> NoPick {
         if let NoPick::Limited { until_ms } = no_pick {
             self.limited = Some(LimitedTurns::new(until_ms, pool.limit_use(seeker.service, now_ms), now_ms));
         }
         let limited = self.limited.filter(|limited| limited.is_recent(now_ms));
         match (no_pick, limited) {
             (NoPick::Full | NoPick::Limited { .. }, Some(limited)) => {
-                let ahead = self.line.ahead(seeker.ticket, seeker.urgency(now_ms), seeker.deadline_ms, now_ms);
+                let ahead = self.wait_queue.ahead(seeker.ticket, seeker.urgency(now_ms), seeker.deadline_ms, now_ms);
                 NoPick::Limited { until_ms: limited.turn_ms(ahead) }
             }
             (no_pick, _) => no_pick,
@@ -108,11 +121,11 @@
 
     /// How long a request that is late would wait for room; 0 where that is not known. One that can still be in its aim
     /// is not judged: it goes first, and has little time to lose.
-    fn queue_ms(&self, seeker: &Seeker, now_ms: u64) -> u64 {
+    fn queue_ms(&self, seeker: &PendingRequest, now_ms: u64) -> u64 {
         match seeker.urgency(now_ms) {
-            Urgency::InAim => 0,
+            Urgency::OnTime => 0,
             Urgency::Late => {
-                let ahead = self.line.late_ahead(seeker.ticket, seeker.deadline_ms, now_ms);
+                let ahead = self.wait_queue.late_ahead(seeker.ticket, seeker.deadline_ms, now_ms);
                 self.overload.late_wait_ms(ahead, now_ms).unwrap_or(0)
             }
         }
@@ -121,7 +134,7 @@
     /// Whether holding serves as many as sending back, as far as known. While a first stand lasts, those that were held in
     /// vain at its start say nothing of those that come near its end; where stands recur, they do.
     fn is_holding_worth_it(&self, now_ms: u64) -> bool {
-        !self.stands.recur(now_ms) || self.endings.is_holding_worth_it(now_ms)
+        !self.stalls.has_recent(now_ms) || self.stall_outcomes.is_holding_worth_it(now_ms)
     }
 
     /// An endpoint, if no other request goes first and this box has a place left for it.
@@ -129,7 +142,7 @@
         &self,
         pool: &EndpointPool,
         boxes: u64,
-        seeker: &Seeker,
+        seeker: &PendingRequest,
         draw: u64,
         now_ms: u64,
     ) -> Result<Pick, NoPick> {
@@ -137,9 +150,9 @@
         if !self.is_turn_of(seeker.ticket, urgency, now_ms) {
             return Err(NoPick::Full);
         }
-        let pick = pool.pick_within(seeker.homes, seeker.service, seeker.tried, urgency, draw, now_ms)?;
+        let pick = pool.pick_within(seeker.allowed_regions, seeker.service, seeker.tried, urgency, draw, now_ms)?;
         let is_over = urgency == Urgency::Late
-            && pool.late_in_flight(seeker.service) >= Self::most_late(pool.slots(seeker.service), boxes);
+            && pool.late_in_flight(seeker.service) >= Self::max_late_in_flight(pool.slots(seeker.service), boxes);
         if is_over { Err(NoPick::Full) } else { Ok(pick) }
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/overload.rs
+++ b/crates/ochreyard-core/src/direct/waiting/overload.rs
@@ -44,7 +44,7 @@
     pub fn on_taken(&mut self, urgency: Urgency, now_ms: u64) {
         self.end_if_over(now_ms);
         if self.since_ms.is_some() && urgency == Urgency::Late {
-            self.late.note(now_ms);
+            self.late.record(now_ms);
         }
     }
 
--- a/crates/ochreyard-core/src/direct/waiting/patience.rs
+++ b/crates/ochreyard-core/src/direct/waiting/patience.rs
@@ -25,7 +25,7 @@
 
 impl Patience {
     /// A caller that waited here went away after it had heard nothing for so long.
-    pub fn note(&mut self, silent_ms: u64) {
+    pub fn record_abandonment(&mut self, silent_ms: u64) {
         if silent_ms < LEAST_WAIT_MS {
             return;
         }
@@ -38,18 +38,18 @@
     /// The longest time for which a request should wait, in milliseconds; `None` while too
     /// little is known.
     #[must_use]
-    pub fn limit_ms(&self) -> Option<u64> {
+    pub fn hold_limit_ms(&self) -> Option<u64> {
         if self.waits_ms.len() < LEAST_KNOWN {
             return None;
         }
         let mut sorted: Vec<u64> = self.waits_ms.iter().copied().collect();
         sorted.sort_unstable();
-        Some(Self::held_ms(sorted[sorted.len() / 2]))
+        Some(Self::hold_limit_for(sorted[sorted.len() / 2]))
     }
 
     /// How long a request is held whose caller hears nothing for `patience_ms` at the most, in milliseconds.
     #[must_use]
-    pub fn held_ms(patience_ms: u64) -> u64 {
+    pub fn hold_limit_for(patience_ms: u64) -> u64 {
         (patience_ms as f64 * HELD_SHARE) as u64
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/service_queue.rs
+++ b/crates/ochreyard-core/src/direct/waiting/service_queue.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use super::limited_turns::LimitedTurns;
-use super::{Arrival, Endings, Overload, Patience, ServiceTime, Stands, Ticket, Urgency, WaitingLine};
+use super::{Arrival, Overload, Patience, ServiceTime, StallHistory, StallOutcomes, Ticket, Urgency, WaitQueue};
 
 /// A caller with less of its usual time than this share has asked before: who is sent back
 /// returns with two thirds of what was left, and budgets of first tries differ by less.
@@ -23,17 +23,17 @@
 #[derive(Debug, Clone, Default)]
 pub struct ServiceQueue {
     /// Those that wait.
-    pub line: WaitingLine,
+    pub wait_queue: WaitQueue,
     /// How long serving takes.
-    pub time: ServiceTime,
+    pub service_time: ServiceTime,
     /// Whether the service stands.
-    pub stands: Stands,
+    pub stalls: StallHistory,
     /// How long callers wait.
     pub patience: Patience,
     /// What the service takes while it has no room.
     pub overload: Overload,
     /// How tries that met a standing service have ended.
-    pub endings: Endings,
+    pub stall_outcomes: StallOutcomes,
     /// The turns that are left where all endpoints name limits.
     pub(super) limited: Option<LimitedTurns>,
     /// The longest time that callers of each route have given it.
@@ -49,22 +49,22 @@
         }
         let usual_ms = self.usual_ms.get_mut(route).expect("inserted above");
         *usual_ms = (*usual_ms).max(given_ms);
-        let has_come_back = (given_ms as f64) < *usual_ms as f64 * RETURNED_SHARE;
-        let in_aim_ms = if has_come_back { 0.0 } else { aim_ms as f64 * IN_AIM_SHARE };
-        Arrival { in_aim_until_ms: now_ms + in_aim_ms as u64, has_come_back }
+        let is_caller_retry = (given_ms as f64) < *usual_ms as f64 * RETURNED_SHARE;
+        let in_aim_ms = if is_caller_retry { 0.0 } else { aim_ms as f64 * IN_AIM_SHARE };
+        Arrival { on_time_until_ms: now_ms + in_aim_ms as u64, is_caller_retry }
     }
 
     /// Whether a request may go now, as far as others that wait here are concerned.
     pub(super) fn is_turn_of(&self, ticket: Option<Ticket>, urgency: Urgency, now_ms: u64) -> bool {
         match ticket {
-            Some(ticket) => self.line.is_next(ticket, now_ms),
-            None => self.line.may_overtake(urgency, now_ms),
+            Some(ticket) => self.wait_queue.is_next(ticket, now_ms),
+            None => self.wait_queue.may_overtake(urgency, now_ms),
         }
     }
 
     /// Late requests that this box may have at the endpoints, of `slots` that `boxes` share.
     #[must_use]
-    pub fn most_late(slots: u64, boxes: u64) -> u64 {
+    pub fn max_late_in_flight(slots: u64, boxes: u64) -> u64 {
         ((slots as f64 * LATE_SHARE / boxes.max(1) as f64).ceil() as u64).max(LEAST_LATE)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/service_time.rs
+++ b/crates/ochreyard-core/src/direct/waiting/service_time.rs
@@ -15,14 +15,14 @@
 
 impl ServiceTime {
     /// An answer has come to its end.
-    pub fn note(&mut self, took_ms: u64) {
+    pub fn record(&mut self, took_ms: u64) {
         let took_ms = took_ms as f64;
         self.mean_ms = Some(self.mean_ms.map_or(took_ms, |mean| mean + NEWEST_SHARE * (took_ms - mean)));
     }
 
     /// How long it takes for a request that waited, in milliseconds; `None` before the first answer.
     #[must_use]
-    pub fn after_wait_ms(&self) -> Option<u64> {
+    pub fn estimate_after_wait_ms(&self) -> Option<u64> {
         self.mean_ms.map(|mean| (mean * AFTER_WAIT).round() as u64)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/stand.rs
+++ b/crates/ochreyard-core/src/direct/waiting/stall_history.rs
@@ -21,15 +21,15 @@
 
 /// The stands of one service, as seen from here.
 #[derive(Debug, Clone, Default)]
-pub struct Stands {
+pub struct StallHistory {
     since_ms: Option<u64>,
     /// The last stands that are over: when each began and ended.
     past: VecDeque<(u64, u64)>,
 }
 
-impl Stands {
+impl StallHistory {
     /// Notes whether the service stands now.
-    pub fn note(&mut self, stands: bool, now_ms: u64) {
+    pub fn record(&mut self, stands: bool, now_ms: u64) {
         match (stands, self.since_ms) {
             (true, None) => self.begin(now_ms),
             (false, Some(since_ms)) => self.end(since_ms, now_ms),
@@ -53,13 +53,13 @@
 
     /// Whether another stand was over a short time ago.
     #[must_use]
-    pub fn recur(&self, now_ms: u64) -> bool {
+    pub fn has_recent(&self, now_ms: u64) -> bool {
         self.past.iter().any(|(_, ended_ms)| now_ms < ended_ms + REMEMBERED_MS)
     }
 
     /// How long stands have lasted of late, in milliseconds; `None` unless they recur.
     #[must_use]
-    pub fn usual_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn median_ms(&self, now_ms: u64) -> Option<u64> {
         let recent = self.past.iter().filter(|(_, ended_ms)| now_ms < ended_ms + REMEMBERED_MS);
         let mut lengths_ms: Vec<u64> = recent.map(|(began_ms, ended_ms)| ended_ms - began_ms).collect();
         lengths_ms.sort_unstable();
@@ -68,10 +68,10 @@
 
     /// How much longer it is expected to stand, in milliseconds; 0 where it goes on.
     #[must_use]
-    pub fn rest_ms(&self, now_ms: u64) -> u64 {
+    pub fn expected_remaining_ms(&self, now_ms: u64) -> u64 {
         let Some(since_ms) = self.since_ms else { return 0 };
         let age_ms = now_ms.saturating_sub(since_ms);
-        let usual_rest_ms = self.usual_ms(now_ms).map_or(0, |usual_ms| usual_ms.saturating_sub(age_ms));
+        let usual_rest_ms = self.median_ms(now_ms).map_or(0, |usual_ms| usual_ms.saturating_sub(age_ms));
         usual_rest_ms.max((age_ms as f64 * REST_SHARE) as u64)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/endings.rs
+++ b/crates/ochreyard-core/src/direct/waiting/stall_outcomes.rs
@@ -27,10 +27,10 @@
 }
 
 impl ServedShare {
-    fn note(&mut self, is_served: bool, now_ms: u64) {
-        self.all.note(now_ms);
+    fn record(&mut self, is_served: bool, now_ms: u64) {
+        self.all.record(now_ms);
         if is_served {
-            self.served.note(now_ms);
+            self.served.record(now_ms);
         }
     }
 
@@ -42,26 +42,26 @@
 
 /// How a try met a service that stood.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Met {
+pub enum StallHandling {
     /// It was held until the service went on, or until it was given up.
     Held,
     /// Its caller had been sent back, and came again.
-    SentBack,
+    CallerRetried,
 }
 
 /// How tries that met a standing service have ended, by what was done with them.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Endings {
+pub struct StallOutcomes {
     held: ServedShare,
     sent_back: ServedShare,
 }
 
-impl Endings {
+impl StallOutcomes {
     /// A try has ended: served whole, or in any other way (cut, refused, its caller gone).
-    pub fn note(&mut self, met: Met, is_served: bool, now_ms: u64) {
+    pub fn record(&mut self, met: StallHandling, is_served: bool, now_ms: u64) {
         match met {
-            Met::Held => self.held.note(is_served, now_ms),
-            Met::SentBack => self.sent_back.note(is_served, now_ms),
+            StallHandling::Held => self.held.record(is_served, now_ms),
+            StallHandling::CallerRetried => self.sent_back.record(is_served, now_ms),
         }
     }
 
--- a/crates/ochreyard-core/src/direct/waiting/line.rs
+++ b/crates/ochreyard-core/src/direct/waiting/wait_queue.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Clone, Copy)]
 struct Waiter {
     ticket: Ticket,
-    in_aim_until_ms: u64,
+    on_time_until_ms: u64,
     deadline_ms: u64,
 }
 
 impl Waiter {
     const fn urgency(&self, now_ms: u64) -> Urgency {
-        if now_ms < self.in_aim_until_ms { Urgency::InAim } else { Urgency::Late }
+        if now_ms < self.on_time_until_ms { Urgency::OnTime } else { Urgency::Late }
     }
 
     /// Smaller goes first: those in their aim, then those with the least time left.
@@ -26,17 +26,17 @@
 
 /// The requests of one service that wait here.
 #[derive(Debug, Clone, Default)]
-pub struct WaitingLine {
+pub struct WaitQueue {
     waiters: Vec<Waiter>,
     joined: u64,
 }
 
-impl WaitingLine {
-    /// A request waits from now on; it can be in its aim if it goes before `in_aim_until_ms`.
-    pub fn join(&mut self, in_aim_until_ms: u64, deadline_ms: u64) -> Ticket {
+impl WaitQueue {
+    /// A request waits from now on; it can be in its aim if it goes before `on_time_until_ms`.
+    pub fn join(&mut self, on_time_until_ms: u64, deadline_ms: u64) -> Ticket {
         let ticket = Ticket(self.joined);
         self.joined += 1;
-        self.waiters.push(Waiter { ticket, in_aim_until_ms, deadline_ms });
+        self.waiters.push(Waiter { ticket, on_time_until_ms, deadline_ms });
         ticket
     }
 
@@ -60,9 +60,9 @@
     /// Whether a request that does not wait yet may go before all that do.
     #[must_use]
     pub fn may_overtake(&self, urgency: Urgency, now_ms: u64) -> bool {
-        let is_in_aim = |waiter: &Waiter| waiter.urgency(now_ms) == Urgency::InAim;
+        let is_in_aim = |waiter: &Waiter| waiter.urgency(now_ms) == Urgency::OnTime;
         match urgency {
-            Urgency::InAim => !self.waiters.iter().any(is_in_aim),
+            Urgency::OnTime => !self.waiters.iter().any(is_in_aim),
             Urgency::Late => self.waiters.is_empty(),
         }
     }
--- a/crates/ochreyard-core/tests/homes.rs
+++ b/crates/ochreyard-core/tests/allowed_regions.rs
@@ -5,12 +5,14 @@
 use std::collections::BTreeMap;
 
 use direct_fixture::endpoint;
-use ochreyard_core::direct::{EndpointChange, EndpointLife, EndpointPool, EndpointRecord, Homes, NoPick, Urgency};
+use ochreyard_core::direct::{
+    AllowedRegions, EndpointChange, EndpointIncarnation, EndpointPool, EndpointRecord, NoPick, Urgency,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::of(regions.iter().map(|region| (*region).to_owned()))
+fn homes(regions: &[&str]) -> AllowedRegions {
+    AllowedRegions::of(regions.iter().map(|region| (*region).to_owned()))
 }
 
 #[rstest]
@@ -27,13 +29,13 @@
     #[case] region: &str,
     #[case] wanted: bool,
 ) {
-    assert_eq!(homes(route).and(&homes(workspace)).allow(Some(region)), wanted);
+    assert_eq!(homes(route).intersect(&homes(workspace)).allows(Some(region)), wanted);
 }
 
 #[test]
 fn a_region_that_is_not_known_is_no_home() {
-    assert!(!homes(&["north"]).allow(None));
-    assert!(Homes::ANY.allow(None));
+    assert!(!homes(&["north"]).allows(None));
+    assert!(AllowedRegions::ANY.allows(None));
 }
 
 const REGIONS: [&str; 3] = ["north", "south", "east"];
@@ -44,7 +46,7 @@
     pool.set_regions(regions.collect::<BTreeMap<_, _>>());
     for (at, data_centre) in data_centres.iter().enumerate() {
         let record = EndpointRecord { data_centre: format!("dc-{data_centre}"), ..endpoint(at as u16 + 1) };
-        pool.apply(EndpointChange::Known(format!("i-{at}"), record));
+        pool.apply(EndpointChange::Updated(format!("i-{at}"), record));
     }
     pool
 }
@@ -64,10 +66,10 @@
             let name = format!("dc-{at}");
             pool.set_evacuated([name.as_str()].into_iter());
         }
-        let homes = Homes::of(allowed.iter().map(|at| REGIONS[*at].to_owned()));
-        let tried: Vec<EndpointLife> =
-            tried.iter().map(|at| EndpointLife { id: format!("i-{at}"), born_ms: 0 }).collect();
-        match pool.pick_within(&homes, "tiles", &tried, Urgency::InAim, draw, 0) {
+        let homes = AllowedRegions::of(allowed.iter().map(|at| REGIONS[*at].to_owned()));
+        let tried: Vec<EndpointIncarnation> =
+            tried.iter().map(|at| EndpointIncarnation { id: format!("i-{at}"), started_ms: 0 }).collect();
+        match pool.pick_within(&homes, "tiles", &tried, Urgency::OnTime, draw, 0) {
             Ok(pick) => {
                 let at: usize = pick.id[2..].parse().unwrap();
                 prop_assert!(allowed.contains(&data_centres[at]));
--- a/crates/ochreyard-core/tests/box_list.rs
+++ b/crates/ochreyard-core/tests/box_list.rs
@@ -16,18 +16,18 @@
 }
 
 fn present(boxes: &BoxList, now_ms: u64) -> Vec<&str> {
-    boxes.present(now_ms).map(|(name, _)| name).collect()
+    boxes.responsive(now_ms).map(|(name, _)| name).collect()
 }
 
 fn leave_unanswered(boxes: &mut BoxList, at: SocketAddr) {
-    (0..UNANSWERED).for_each(|_| boxes.on_unanswered(at, 0));
+    (0..UNANSWERED).for_each(|_| boxes.on_poll_unanswered(at, 0));
 }
 
 #[test]
 fn a_box_that_leaves_questions_unanswered_is_silent_until_it_is_heard() {
     let mut boxes = BoxList::default();
-    boxes.take("x", record(1));
-    boxes.take("y", record(2));
+    boxes.insert("x", record(1));
+    boxes.insert("y", record(2));
     leave_unanswered(&mut boxes, addr(1));
     assert_eq!(present(&boxes, 0), ["y"]);
     boxes.on_heard(addr(1), 1);
@@ -37,8 +37,8 @@
 #[test]
 fn a_box_that_has_moved_is_known_at_its_new_address_only() {
     let mut boxes = BoxList::default();
-    boxes.take("x", record(1));
-    boxes.take("x", record(2));
+    boxes.insert("x", record(1));
+    boxes.insert("x", record(2));
     leave_unanswered(&mut boxes, addr(1));
     assert_eq!(present(&boxes, 0), ["x"]);
     leave_unanswered(&mut boxes, addr(2));
@@ -49,9 +49,9 @@
 #[test]
 fn an_address_belongs_to_the_box_that_was_last_known_there() {
     let mut boxes = BoxList::default();
-    boxes.take("x", record(1));
-    boxes.take("y", record(1));
-    boxes.take("x", record(2));
+    boxes.insert("x", record(1));
+    boxes.insert("y", record(1));
+    boxes.insert("x", record(2));
     leave_unanswered(&mut boxes, addr(1));
     assert_eq!(present(&boxes, 0), ["x"]);
 }
--- a/crates/ochreyard-core/tests/candidacy.rs
+++ b/crates/ochreyard-core/tests/candidacy.rs
@@ -23,7 +23,7 @@
     let place = |own: &(&str, BoxRecord)| {
         let mut others = BoxList::default();
         for (name, record) in boxes.iter().filter(|other| other.0 != own.0) {
-            others.take(name, record.clone());
+            others.insert(name, record.clone());
         }
         candidate_place(service, (own.0, &own.1), &others)
     };
@@ -97,11 +97,11 @@
 #[test]
 fn a_box_is_told_only_of_boxes_that_were_learned_since() {
     let mut list = BoxList::default();
-    assert!(list.take("a", record(1, 250, 100)));
-    assert!(!list.take("a", record(1, 250, 100)));
-    assert!(list.take("b", record(2, 250, 100)));
-    let known = list.learned();
-    assert!(list.take("a", record(3, 250, 100)), "it has moved");
+    assert!(list.insert("a", record(1, 250, 100)));
+    assert!(!list.insert("a", record(1, 250, 100)));
+    assert!(list.insert("b", record(2, 250, 100)));
+    let known = list.learned_count();
+    assert!(list.insert("a", record(3, 250, 100)), "it has moved");
     let told: Vec<(&str, BoxRecord)> = list.learned_since(known).map(|(name, record)| (name, record.clone())).collect();
     assert_eq!(told, [("a", record(3, 250, 100))]);
     assert_eq!(list.learned_since(99).count(), 0);
--- a/crates/ochreyard-core/tests/cold_model/fleet.rs
+++ b/crates/ochreyard-core/tests/cold_model/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::direct::{
-    ColdFigures, EndpointChange, EndpointPool, EndpointRecord, Outcome, Pick, RouteTable, ServiceSpec, Sharers, Urgency,
+    ColdLimits, EndpointChange, EndpointPool, EndpointRecord, Outcome, Pick, RouteTable, ServiceSpec, Sharers, Urgency,
 };
 
 use crate::draws::Draws;
@@ -72,7 +72,7 @@
     format!("i-{at:04}")
 }
 
-fn record(at: usize, born_ms: u64, cold_ms: u64) -> EndpointRecord {
+fn record(at: usize, started_ms: u64, cold_ms: u64) -> EndpointRecord {
     EndpointRecord {
         service: "brief".to_owned(),
         addr: SocketAddr::from(([10, 0, 0, at as u8], 8_280)),
@@ -80,12 +80,12 @@
         slots: SLOTS,
         is_leaving: false,
         cold_ms,
-        born_ms,
+        started_ms,
     }
 }
 
 fn table() -> RouteTable {
-    let cold = Some(ColdFigures { requests_per_s: PER_S as f64 });
+    let cold = Some(ColdLimits { requests_per_s: PER_S as f64 });
     RouteTable::new(1).with_service(ServiceSpec { name: "brief".to_owned(), max_connections: 500, engine: None, cold })
 }
 
@@ -141,7 +141,7 @@
     fn come_back(&mut self, at: usize) {
         let Some((born_ms, cold_ms)) = self.cold_ms() else { return };
         for number in 0..ENDPOINTS {
-            self.pools[at].apply(EndpointChange::Known(endpoint(number), record(number, born_ms, cold_ms)));
+            self.pools[at].apply(EndpointChange::Updated(endpoint(number), record(number, born_ms, cold_ms)));
             self.pools[at].on_cold(&endpoint(number), cold_ms, self.now_ms);
         }
     }
@@ -166,7 +166,7 @@
 
     fn send(&mut self, at: usize) {
         let draw = self.draws.number();
-        let Ok(pick) = self.pools[at].pick("brief", &[], Urgency::InAim, draw, self.now_ms) else { return };
+        let Ok(pick) = self.pools[at].pick("brief", &[], Urgency::OnTime, draw, self.now_ms) else { return };
         self.pools[at].on_start(&pick);
         assert!(self.pools[at].try_send(&pick, None, self.now_ms), "what was picked just now may be sent");
         let arrives_ms = self.now_ms + self.draws.between(TRANSIT_MS.0, TRANSIT_MS.1);
@@ -210,7 +210,7 @@
 }
 
 fn go_away(pool: &mut EndpointPool) {
-    (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Gone(endpoint(at))));
+    (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Removed(endpoint(at))));
 }
 
 fn new_pool(setting: &Setting, at: usize, started_ms: u64) -> EndpointPool {
--- a/crates/ochreyard-core/tests/cut_data_centre.rs
+++ b/crates/ochreyard-core/tests/cut_data_centre.rs
@@ -7,7 +7,8 @@
 
 use direct_fixture::endpoint;
 use ochreyard_core::direct::{
-    EndpointChange, EndpointLife, EndpointPool, EndpointRecord, GroupNews, NoPick, Outcome, Pick, RankNews, Urgency,
+    EndpointChange, EndpointIncarnation, EndpointPool, EndpointRecord, GroupUpdate, NoPick, Outcome, Pick, RankUpdate,
+    Urgency,
 };
 use rstest::rstest;
 
@@ -24,7 +25,7 @@
     let mut pool = EndpointPool::new();
     for at in 0..ENDPOINTS {
         let record = EndpointRecord { data_centre: format!("hall-{}", data_centre(at)), ..endpoint(at as u16 + 1) };
-        pool.apply(EndpointChange::Known(format!("i-{at}"), record));
+        pool.apply(EndpointChange::Updated(format!("i-{at}"), record));
     }
     pool
 }
@@ -36,9 +37,9 @@
 /// Sends one request from data centre 0, of which no other is reached. Gives the endpoint that got it, and how many were
 /// tried in vain.
 fn send(pool: &mut EndpointPool, draw: u64, now_ms: u64) -> (Result<usize, NoPick>, usize) {
-    let mut tried: Vec<EndpointLife> = Vec::new();
+    let mut tried: Vec<EndpointIncarnation> = Vec::new();
     while tried.len() < MOST_TRIED {
-        let pick = match pool.pick("tiles", &tried, Urgency::InAim, draw + tried.len() as u64, now_ms) {
+        let pick = match pool.pick("tiles", &tried, Urgency::OnTime, draw + tried.len() as u64, now_ms) {
             Ok(pick) => pick,
             Err(no_pick) => return (Err(no_pick), tried.len()),
         };
@@ -75,7 +76,7 @@
     }
     let used = |pool: &EndpointPool, now_ms: u64| {
         (0..200).any(|draw| {
-            pool.pick("tiles", &[], Urgency::InAim, draw, now_ms).is_ok_and(|pick| data_centre(number(&pick)) != 0)
+            pool.pick("tiles", &[], Urgency::OnTime, draw, now_ms).is_ok_and(|pick| data_centre(number(&pick)) != 0)
         })
     };
     assert!(!used(&pool, 100));
@@ -95,7 +96,7 @@
         pool.on_end(&pick, Outcome::Unreachable, 0);
     }
     let is_left_alone = !(0..500).any(|draw| {
-        pool.pick("tiles", &[], Urgency::InAim, draw, 10).is_ok_and(|pick| data_centre(number(&pick)) == 1)
+        pool.pick("tiles", &[], Urgency::OnTime, draw, 10).is_ok_and(|pick| data_centre(number(&pick)) == 1)
     });
     assert_eq!(is_left_alone, wanted);
 }
@@ -105,13 +106,13 @@
 fn where_the_groups_on_this_side_stand_the_service_stands() {
     let mut pool = pool();
     let here = (0..ENDPOINTS).filter(|at| data_centre(*at) == 0);
-    let ranks = here.map(|at| RankNews { endpoint: format!("i-{at}"), running: 0, waiting: 0, pace_permille: 1_000 });
-    let news = GroupNews {
+    let ranks = here.map(|at| RankUpdate { endpoint: format!("i-{at}"), running: 0, waiting: 0, pace_permille: 1_000 });
+    let news = GroupUpdate {
         service: "tiles".into(),
         group: "g".into(),
         is_serving: false,
         ranks: ranks.collect(),
-        ..GroupNews::default()
+        ..GroupUpdate::default()
     };
     pool.on_news(&news, 0);
     let (got, _) = send(&mut pool, 3, 10);
@@ -124,7 +125,7 @@
     let mut pool = EndpointPool::new();
     for at in 0..4usize {
         let record = EndpointRecord { data_centre: "far".to_owned(), ..endpoint(at as u16 + 1) };
-        pool.apply(EndpointChange::Known(format!("i-{at}"), record));
+        pool.apply(EndpointChange::Updated(format!("i-{at}"), record));
     }
     for at in 0..3 {
         let record = pool.record(&format!("i-{at}")).unwrap().clone();
@@ -132,5 +133,5 @@
         pool.on_start(&pick);
         pool.on_end(&pick, Outcome::Unreachable, 0);
     }
-    assert!(pool.pick("tiles", &[], Urgency::InAim, 0, 1).is_ok());
+    assert!(pool.pick("tiles", &[], Urgency::OnTime, 0, 1).is_ok());
 }
--- a/crates/ochreyard-core/tests/direct.rs
+++ b/crates/ochreyard-core/tests/direct.rs
@@ -7,8 +7,8 @@
 
 use direct_fixture::{addr, endpoint};
 use ochreyard_core::direct::{
-    BoxList, BoxRecord, Catalog, EndpointChange, EndpointRecord, EventSplitter, Homes, Own, Position, Reading,
-    RepeatBudget, RepeatLimits, Route, RouteKind, RouteTable, WeightedService, Workspace,
+    AllowedRegions, BoxList, BoxRecord, Catalog, EndpointChange, EndpointRecord, EventSplitter, LocalBox, LogProgress,
+    Position, RetryBudgetLimits, Route, RouteKind, RouteTable, SharedRetryBudget, WeightedService, Workspace,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -32,7 +32,7 @@
         services: vec![WeightedService { service: service.to_owned(), weight: 1 }],
         max_attempts: 2,
         public: false,
-        homes: Homes::ANY,
+        allowed_regions: AllowedRegions::ANY,
     }
 }
 #[rstest]
@@ -60,7 +60,7 @@
 fn keys_belong_to_workspaces_and_are_needed_once_there_are_any() {
     let table = RouteTable::new(1);
     assert!(!table.needs_key());
-    let workspace = Workspace { name: "resort".into(), priority: None, homes: Homes::ANY };
+    let workspace = Workspace { name: "resort".into(), priority: None, allowed_regions: AllowedRegions::ANY };
     let table = table.with_workspace(workspace, ["k1".to_owned()]);
     assert!(table.needs_key());
     assert_eq!(table.workspace_of("k1").map(|workspace| workspace.name.as_str()), Some("resort"));
@@ -71,29 +71,29 @@
 fn of_two_records_the_newer_one_counts_whichever_comes_first() {
     let mut catalog = Catalog::new();
     let leaving = EndpointRecord { is_leaving: true, ..endpoint(1) };
-    assert_eq!(catalog.take("e", at(7), Some(leaving.clone()), 0), Some(EndpointChange::Known("e".into(), leaving)));
-    assert_eq!(catalog.take("e", at(5), Some(endpoint(1)), 0), None);
+    assert_eq!(catalog.apply("e", at(7), Some(leaving.clone()), 0), Some(EndpointChange::Updated("e".into(), leaving)));
+    assert_eq!(catalog.apply("e", at(5), Some(endpoint(1)), 0), None);
 }
 
 #[test]
 fn a_record_that_goes_while_the_log_is_read_means_gone() {
     let mut catalog = Catalog::new();
-    catalog.take("e", at(1), Some(endpoint(1)), 0);
-    assert_eq!(catalog.take("e", at(2), None, 10), Some(EndpointChange::Gone("e".into())));
+    catalog.apply("e", at(1), Some(endpoint(1)), 0);
+    assert_eq!(catalog.apply("e", at(2), None, 10), Some(EndpointChange::Removed("e".into())));
 }
 
 #[test]
 fn a_record_that_lapsed_in_an_outage_means_gone_only_two_seconds_after_it() {
     let mut catalog = Catalog::new();
-    catalog.take("stays", at(1), Some(endpoint(1)), 0);
-    catalog.take("dies", at(2), Some(endpoint(2)), 0);
-    catalog.on_log_away(1_000);
+    catalog.apply("stays", at(1), Some(endpoint(1)), 0);
+    catalog.apply("dies", at(2), Some(endpoint(2)), 0);
+    catalog.on_log_unreachable(1_000);
     catalog.on_log_read(6_000);
-    assert_eq!(catalog.take("stays", at(3), None, 6_000), None);
-    assert_eq!(catalog.take("dies", at(4), None, 6_000), None);
-    assert!(catalog.take("stays", at(5), Some(endpoint(1)), 6_900).is_some());
-    assert!(catalog.overdue(7_900).is_empty());
-    assert_eq!(catalog.overdue(8_100), [EndpointChange::Gone("dies".into())]);
+    assert_eq!(catalog.apply("stays", at(3), None, 6_000), None);
+    assert_eq!(catalog.apply("dies", at(4), None, 6_000), None);
+    assert!(catalog.apply("stays", at(5), Some(endpoint(1)), 6_900).is_some());
+    assert!(catalog.expire_unconfirmed(7_900).is_empty());
+    assert_eq!(catalog.expire_unconfirmed(8_100), [EndpointChange::Removed("dies".into())]);
 }
 
 /// Seen: requests at an endpoint 2.0 to 2.3 s after its record had gone, from the one box that the log had not answered for a
@@ -102,31 +102,34 @@
 #[test]
 fn a_record_that_goes_soon_after_an_outage_is_waited_for_until_two_seconds_after_the_return() {
     let mut catalog = Catalog::new();
-    catalog.take("leaves", at(1), Some(endpoint(1)), 0);
-    catalog.on_log_away(1_000);
+    catalog.apply("leaves", at(1), Some(endpoint(1)), 0);
+    catalog.on_log_unreachable(1_000);
     catalog.on_log_read(6_000);
-    assert_eq!(catalog.take("leaves", at(2), None, 7_700), None);
-    assert_eq!(catalog.overdue(8_000), [EndpointChange::Gone("leaves".into())]);
+    assert_eq!(catalog.apply("leaves", at(2), None, 7_700), None);
+    assert_eq!(catalog.expire_unconfirmed(8_000), [EndpointChange::Removed("leaves".into())]);
 }
 
 #[test]
 fn a_record_that_lapsed_while_the_log_was_away_may_come_back_until_two_seconds_after_the_return() {
     let mut catalog = Catalog::new();
-    catalog.take("lapses", at(1), Some(endpoint(1)), 0);
-    catalog.on_log_away(1_000);
+    catalog.apply("lapses", at(1), Some(endpoint(1)), 0);
+    catalog.on_log_unreachable(1_000);
     // Another box told of it.
-    assert_eq!(catalog.take("lapses", at(2), None, 2_000), None);
+    assert_eq!(catalog.apply("lapses", at(2), None, 2_000), None);
     catalog.on_log_read(6_000);
-    assert!(catalog.overdue(7_900).is_empty());
-    assert_eq!(catalog.overdue(8_000), [EndpointChange::Gone("lapses".into())]);
+    assert!(catalog.expire_unconfirmed(7_900).is_empty());
+    assert_eq!(catalog.expire_unconfirmed(8_000), [EndpointChange::Removed("lapses".into())]);
 }
 
 #[test]
 fn an_endpoint_that_a_whole_reading_no_longer_lists_is_gone() {
     let mut catalog = Catalog::new();
-    catalog.take("e", at(1), Some(endpoint(1)), 0);
-    catalog.take("f", at(2), Some(endpoint(2)), 0);
-    assert_eq!(catalog.keep_only(&BTreeSet::from(["f".to_owned()]), at(9), 10), [EndpointChange::Gone("e".into())]);
+    catalog.apply("e", at(1), Some(endpoint(1)), 0);
+    catalog.apply("f", at(2), Some(endpoint(2)), 0);
+    assert_eq!(
+        catalog.retain_listed(&BTreeSet::from(["f".to_owned()]), at(9), 10),
+        [EndpointChange::Removed("e".into())]
+    );
 }
 
 proptest! {
@@ -146,15 +149,15 @@
         }
         prop_assert_eq!(out, text.as_bytes()[..text.find("id: 4").unwrap()].to_vec());
         prop_assert_eq!(splitter.last_id(), Some("3"));
-        prop_assert!(splitter.has_part());
+        prop_assert!(splitter.has_partial_event());
     }
 
     #[test]
     fn boxes_that_each_see_a_part_never_repeat_more_than_the_whole_budget(
         arrivals in proptest::collection::vec((0usize..8, 0u64..40, any::<bool>()), 200..900)
     ) {
-        let limits = RepeatLimits { ratio: 0.2, fixed: 90, window_ms: 10_000 };
-        let mut boxes: Vec<RepeatBudget> = (0..8).map(|_| RepeatBudget::new(limits, 8)).collect();
+        let limits = RetryBudgetLimits { ratio: 0.2, fixed: 90, window_ms: 10_000 };
+        let mut boxes: Vec<SharedRetryBudget> = (0..8).map(|_| SharedRetryBudget::new(limits, 8)).collect();
         let (mut now_ms, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
         for (at, pause_ms, wants_repeat) in arrivals {
             now_ms += pause_ms;
@@ -170,14 +173,14 @@
 }
 
 /// A box in the data centre of all others.
-const fn near(name: &str) -> Own<'_> {
-    Own { name, data_centre: "" }
+const fn near(name: &str) -> LocalBox<'_> {
+    LocalBox { name, data_centre: "" }
 }
 
 fn boxes(names: &[&str]) -> BoxList {
     let mut boxes = BoxList::default();
     for (at, name) in names.iter().enumerate() {
-        boxes.take(
+        boxes.insert(
             name,
             BoxRecord { addr: addr(at as u16 + 1), data_centre: String::new(), cores_permille: 250, link_mbps: 100 },
         );
@@ -193,11 +196,11 @@
         boxes(&others)
     };
     let asked: Vec<Option<SocketAddr>> =
-        names.iter().map(|own| Reading::new(2_000).box_to_ask(near(own), &others(own), 0)).collect();
+        names.iter().map(|own| LogProgress::new(2_000).source(near(own), &others(own), 0)).collect();
     assert_eq!(asked.iter().filter(|asked| asked.is_none()).count(), 2, "{asked:?}");
     let reader = names.iter().zip(&asked).find(|(_, asked)| asked.is_none()).map(|(name, _)| name).unwrap();
     assert!(
-        Reading::new(2_000).box_to_ask(near("alone"), &BoxList::default(), 0).is_none(),
+        LogProgress::new(2_000).source(near("alone"), &BoxList::default(), 0).is_none(),
         "a box alone reads for itself"
     );
     assert!(!reader.is_empty());
@@ -209,35 +212,35 @@
     // Of five boxes, the last ones of the order are told; one of these names is among them.
     let own = ["v", "w", "x", "y", "z"]
         .into_iter()
-        .find(|own| Reading::new(2_000).box_to_ask(near(own), &others, 0).is_some());
+        .find(|own| LogProgress::new(2_000).source(near(own), &others, 0).is_some());
     let own = own.expect("one of five comes after two others");
-    let mut reading = Reading::new(2_000);
-    let first = reading.box_to_ask(near(own), &others, 0);
+    let mut reading = LogProgress::new(2_000);
+    let first = reading.source(near(own), &others, 0);
     assert!(!reading.is_fresh(0), "nothing is known yet");
-    assert!(reading.take_told(at(40), 1_000, 1_300));
+    assert!(reading.apply_peer_progress(at(40), 1_000, 1_300));
     assert!(reading.is_fresh(2_100), "well within the time of 2,000 ms");
     assert!(!reading.is_fresh(2_200));
-    assert_eq!(reading.box_to_ask(near(own), &others, 0), first);
-    assert!(!reading.take_told(at(50), 1_000, 2_300), "it knows only what is old");
-    assert_ne!(reading.box_to_ask(near(own), &others, 0), first);
-    assert!(!reading.take_told(at(30), 2_300, 2_300), "it has not come as far as we have");
-    assert_eq!(reading.next(), Some(at(40)));
+    assert_eq!(reading.source(near(own), &others, 0), first);
+    assert!(!reading.apply_peer_progress(at(50), 1_000, 2_300), "it knows only what is old");
+    assert_ne!(reading.source(near(own), &others, 0), first);
+    assert!(!reading.apply_peer_progress(at(30), 2_300, 2_300), "it has not come as far as we have");
+    assert_eq!(reading.next_position(), Some(at(40)));
 }
 
 #[test]
 fn another_box_is_told_of_an_entry_that_lapsed_only_once_that_is_settled() {
     let mut catalog = Catalog::new();
-    catalog.take("e1", at(1), Some(endpoint(1)), 0);
-    catalog.take("e1", at(5), Some(endpoint(1)), 0);
+    catalog.apply("e1", at(1), Some(endpoint(1)), 0);
+    catalog.apply("e1", at(5), Some(endpoint(1)), 0);
     assert_eq!(catalog.changed_since(at(2)).count(), 0, "the later record says the same");
-    catalog.on_log_away(100);
+    catalog.on_log_unreachable(100);
     catalog.on_log_read(200);
-    catalog.take("e1", at(7), None, 300);
+    catalog.apply("e1", at(7), None, 300);
     assert_eq!(catalog.changed_since(at(2)).count(), 0);
     // Told as fresh with this change withheld, another box would go on sending work there
     // (rule DRAIN on hehuan-maps-grown scale-2).
     assert!(!catalog.is_settled(), "nobody may rely on what is told now");
-    assert_eq!(catalog.overdue(2_400).len(), 1);
+    assert_eq!(catalog.expire_unconfirmed(2_400).len(), 1);
     let told: Vec<(&str, Position, bool)> =
         catalog.changed_since(at(7)).map(|(id, at, record)| (id, at, record.is_some())).collect();
     assert_eq!(told, [("e1", at(7), false)]);
--- a/crates/ochreyard-core/tests/direct_fixture/mod.rs
+++ b/crates/ochreyard-core/tests/direct_fixture/mod.rs
@@ -16,6 +16,6 @@
         slots: 2,
         is_leaving: false,
         cold_ms: 0,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
--- a/crates/ochreyard-core/tests/endpoint_notices.rs
+++ b/crates/ochreyard-core/tests/endpoint_notices.rs
@@ -4,8 +4,8 @@
 
 use direct_fixture::endpoint;
 use ochreyard_core::direct::{
-    Choice, EndpointChange, EndpointPool, EndpointRecord, EndpointSignals, Homes, LimitWord, NoPick, Pick, Seeker,
-    ServiceQueue, Urgency,
+    AllowedRegions, DispatchDecision, EndpointChange, EndpointPool, EndpointRecord, EndpointSignals, LimitWord, NoPick,
+    PendingRequest, Pick, ServiceQueue, Urgency,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 }
 
 fn know(pool: &mut EndpointPool, id: &str, record: EndpointRecord) {
-    pool.apply(EndpointChange::Known(id.into(), record));
+    pool.apply(EndpointChange::Updated(id.into(), record));
 }
 
 fn pool_of(ids: &[&str]) -> EndpointPool {
@@ -28,7 +28,7 @@
 }
 
 fn pick(pool: &EndpointPool, now_ms: u64) -> Result<Pick, NoPick> {
-    pool.pick("tiles", &[], Urgency::InAim, 0, now_ms)
+    pool.pick("tiles", &[], Urgency::OnTime, 0, now_ms)
 }
 
 const fn pause(backoff_ms: u64) -> EndpointSignals {
@@ -74,7 +74,7 @@
 fn a_request_that_was_picked_is_not_sent_once_the_record_has_gone() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.apply(EndpointChange::Gone("a".into()));
+    pool.apply(EndpointChange::Removed("a".into()));
     assert!(!pool.is_welcome(&picked, 1));
 }
 
@@ -96,10 +96,10 @@
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
     pool.on_signals(&picked, &word, 0);
-    pool.apply(EndpointChange::Gone("a".into()));
+    pool.apply(EndpointChange::Removed("a".into()));
     know(&mut pool, "a", record(1));
     assert!(pick(&pool, 1).is_err(), "the same life");
-    know(&mut pool, "a", EndpointRecord { born_ms: 7, ..record(1) });
+    know(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
     assert!(pick(&pool, 2).is_ok(), "the next life has asked for nothing");
 }
 
@@ -107,7 +107,7 @@
 fn a_word_that_comes_while_the_record_is_away_counts_once_it_is_back() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.apply(EndpointChange::Gone("a".into()));
+    pool.apply(EndpointChange::Removed("a".into()));
     pool.on_signals(&picked, &LEAVES, 1);
     know(&mut pool, "a", record(1));
     assert_eq!(pick(&pool, 2), Err(NoPick::Nobody));
@@ -117,7 +117,7 @@
 fn a_word_of_a_life_before_says_nothing_of_the_next() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    know(&mut pool, "a", EndpointRecord { born_ms: 7, ..record(1) });
+    know(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
     pool.on_signals(&picked, &LEAVES, 1);
     pool.on_signals(&picked, &pause(60_000), 1);
     assert!(pick(&pool, 2).is_ok());
@@ -147,11 +147,11 @@
 }
 
 /// A request with 8 s to go, whose aim is 400 ms.
-const fn seeker(deadline_ms: u64) -> Seeker<'static> {
-    let arrival = ochreyard_core::direct::Arrival { in_aim_until_ms: 200, has_come_back: false };
-    Seeker {
+const fn seeker(deadline_ms: u64) -> PendingRequest<'static> {
+    let arrival = ochreyard_core::direct::Arrival { on_time_until_ms: 200, is_caller_retry: false };
+    PendingRequest {
         service: "tiles",
-        homes: &Homes::ANY,
+        allowed_regions: &AllowedRegions::ANY,
         tried: &[],
         arrival,
         deadline_ms,
@@ -174,8 +174,8 @@
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
     pool.on_signals(&picked, &pause(pause_ms), 0);
-    let choice = ServiceQueue::default().choose(&pool, 1, &seeker(deadline_ms), 0, 0);
-    assert_eq!(matches!(choice, Choice::Wait(_)), waits, "{choice:?}");
+    let choice = ServiceQueue::default().decide(&pool, 1, &seeker(deadline_ms), 0, 0);
+    assert_eq!(matches!(choice, DispatchDecision::Wait(_)), waits, "{choice:?}");
 }
 
 #[derive(Debug, Clone)]
@@ -210,7 +210,7 @@
         let mut pool = pool_of(&ids.iter().map(String::as_str).collect::<Vec<_>>());
         let lives: Vec<Pick> = ids
             .iter()
-            .map(|id| Pick { id: id.clone(), born_ms: 0, addr: endpoint(1).addr, in_flight: 0, urgency: Urgency::InAim })
+            .map(|id| Pick { id: id.clone(), born_ms: 0, addr: endpoint(1).addr, in_flight: 0, urgency: Urgency::OnTime })
             .collect();
         let mut paused_until_ms = [0; ENDPOINTS];
         let mut leaves = [false; ENDPOINTS];
@@ -225,7 +225,7 @@
                     pool.on_signals(&lives[endpoint], &LEAVES, now_ms);
                     leaves[endpoint] = true;
                 }
-                Event::Lapses { endpoint } => pool.apply(EndpointChange::Gone(ids[endpoint].clone())),
+                Event::Lapses { endpoint } => pool.apply(EndpointChange::Removed(ids[endpoint].clone())),
                 Event::ComesBack { endpoint } => know(&mut pool, &ids[endpoint], record(1)),
                 Event::Passes { ms } => now_ms += ms,
                 Event::Sends => {
--- a/crates/ochreyard-core/tests/evacuation.rs
+++ b/crates/ochreyard-core/tests/evacuation.rs
@@ -6,7 +6,7 @@
 
 use direct_fixture::endpoint;
 use ochreyard_core::direct::{
-    EndpointChange, EndpointPool, EndpointRecord, EvacuationNews, Evacuations, NoPick, Pick, Position, Urgency,
+    EndpointChange, EndpointPool, EndpointRecord, EvacuationUpdate, Evacuations, NoPick, Pick, Position, Urgency,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -24,59 +24,59 @@
 #[test]
 fn an_evacuation_is_in_force_until_it_is_taken_back() {
     let mut evacuations = Evacuations::default();
-    assert!(evacuations.take("a", at(0, 3), true, 0));
+    assert!(evacuations.apply("a", at(0, 3), true, 0));
     assert_eq!(in_force(&evacuations), ["a"]);
-    assert!(evacuations.take("a", at(0, 7), false, 0));
+    assert!(evacuations.apply("a", at(0, 7), false, 0));
     assert!(in_force(&evacuations).is_empty());
-    assert!(!evacuations.take("a", at(0, 3), true, 0), "what comes late says nothing");
+    assert!(!evacuations.apply("a", at(0, 3), true, 0), "what comes late says nothing");
 }
 
 #[test]
 fn a_listing_that_lacks_an_evacuation_says_that_it_is_over() {
     let mut evacuations = Evacuations::default();
-    evacuations.take("a", at(0, 3), true, 0);
-    evacuations.keep_only(&BTreeSet::new(), at(0, 3));
+    evacuations.apply("a", at(0, 3), true, 0);
+    evacuations.retain_listed(&BTreeSet::new(), at(0, 3));
     assert_eq!(in_force(&evacuations), ["a"], "the listing is older than the record");
-    evacuations.keep_only(&BTreeSet::new(), at(0, 9));
+    evacuations.retain_listed(&BTreeSet::new(), at(0, 9));
     assert!(in_force(&evacuations).is_empty());
-    assert!(evacuations.take("a", at(0, 9), true, 0), "the next record may stand where the listing ended");
+    assert!(evacuations.apply("a", at(0, 9), true, 0), "the next record may stand where the listing ended");
 }
 
 #[test]
 fn an_evacuation_outlives_a_return_of_the_log_until_the_operator_has_had_time_to_write_it_again() {
     let mut evacuations = Evacuations::default();
-    evacuations.take("a", at(0, 30), true, 0);
-    evacuations.on_return(1, 1_000);
-    evacuations.keep_only(&BTreeSet::new(), at(1, 9));
-    assert!(!evacuations.settle(1_000 + GRACE_MS - 1));
+    evacuations.apply("a", at(0, 30), true, 0);
+    evacuations.on_log_restored(1, 1_000);
+    evacuations.retain_listed(&BTreeSet::new(), at(1, 9));
+    assert!(!evacuations.expire_missing(1_000 + GRACE_MS - 1));
     assert_eq!(in_force(&evacuations), ["a"]);
     let mut again = evacuations.clone();
-    again.take("a", at(1, 9), true, 2_000);
-    assert!(!again.settle(60_000));
+    again.apply("a", at(1, 9), true, 2_000);
+    assert!(!again.expire_missing(60_000));
     assert_eq!(in_force(&again), ["a"], "it was written again");
-    assert!(evacuations.settle(1_000 + GRACE_MS));
+    assert!(evacuations.expire_missing(1_000 + GRACE_MS));
     assert!(in_force(&evacuations).is_empty(), "it was not");
 }
 
 #[test]
 fn a_box_that_is_told_of_an_evacuation_of_an_earlier_era_does_not_keep_it_for_ever() {
     let mut evacuations = Evacuations::default();
-    evacuations.on_return(2, 0);
-    evacuations.take("a", at(1, 30), true, 100);
+    evacuations.on_log_restored(2, 0);
+    evacuations.apply("a", at(1, 30), true, 100);
     assert_eq!(in_force(&evacuations), ["a"]);
-    assert!(evacuations.settle(100 + GRACE_MS));
+    assert!(evacuations.expire_missing(100 + GRACE_MS));
     assert!(in_force(&evacuations).is_empty());
 }
 
 #[test]
 fn a_copy_that_still_has_an_evacuation_puts_it_in_force_again() {
     let mut evacuations = Evacuations::default();
-    evacuations.take("a", at(0, 30), true, 0);
-    evacuations.take("a", at(0, 40), false, 0);
-    evacuations.on_return(1, 1_000);
-    evacuations.take("a", at(1, 30), true, 1_100);
+    evacuations.apply("a", at(0, 30), true, 0);
+    evacuations.apply("a", at(0, 40), false, 0);
+    evacuations.on_log_restored(1, 1_000);
+    evacuations.apply("a", at(1, 30), true, 1_100);
     assert_eq!(in_force(&evacuations), ["a"], "the operator has not taken it back in this era");
-    evacuations.take("a", at(1, 31), false, 1_200);
+    evacuations.apply("a", at(1, 31), false, 1_200);
     assert!(in_force(&evacuations).is_empty());
 }
 
@@ -106,17 +106,17 @@
         let all = 0..records.len();
         for (step, offset) in order.iter().map(|index| index.index(records.len())).chain(all).enumerate() {
             let Record { data_centre, is_in_force } = records[offset];
-            boxes[0].take(NAMES[data_centre], position(offset), is_in_force, 0);
+            boxes[0].apply(NAMES[data_centre], position(offset), is_in_force, 0);
             if told.get(step).copied().unwrap_or(true) {
-                let news: Vec<EvacuationNews> = boxes[0].news().collect();
+                let news: Vec<EvacuationUpdate> = boxes[0].updates().collect();
                 for told in news {
-                    boxes[1].take(&told.data_centre, told.position, told.is_in_force, 0);
+                    boxes[1].apply(&told.data_centre, told.position, told.is_in_force, 0);
                 }
             }
         }
-        let news: Vec<EvacuationNews> = boxes[0].news().collect();
+        let news: Vec<EvacuationUpdate> = boxes[0].updates().collect();
         for told in news {
-            boxes[1].take(&told.data_centre, told.position, told.is_in_force, 0);
+            boxes[1].apply(&told.data_centre, told.position, told.is_in_force, 0);
         }
         let last = |name: usize| records.iter().rev().find(|record| record.data_centre == name);
         let expected: Vec<&str> =
@@ -132,13 +132,13 @@
 
 fn pool() -> EndpointPool {
     let mut pool = EndpointPool::new();
-    pool.apply(EndpointChange::Known("i-a".to_owned(), in_data_centre(1, "a")));
-    pool.apply(EndpointChange::Known("i-b".to_owned(), in_data_centre(2, "b")));
+    pool.apply(EndpointChange::Updated("i-a".to_owned(), in_data_centre(1, "a")));
+    pool.apply(EndpointChange::Updated("i-b".to_owned(), in_data_centre(2, "b")));
     pool
 }
 
 fn pick(pool: &EndpointPool, draw: u64) -> Result<Pick, NoPick> {
-    pool.pick("tiles", &[], Urgency::InAim, draw, 0)
+    pool.pick("tiles", &[], Urgency::OnTime, draw, 0)
 }
 
 #[rstest]
@@ -148,8 +148,8 @@
     let mut pool = if comes_later { EndpointPool::new() } else { pool() };
     pool.set_evacuated(["a"].into_iter());
     if comes_later {
-        pool.apply(EndpointChange::Known("i-a".to_owned(), in_data_centre(1, "a")));
-        pool.apply(EndpointChange::Known("i-b".to_owned(), in_data_centre(2, "b")));
+        pool.apply(EndpointChange::Updated("i-a".to_owned(), in_data_centre(1, "a")));
+        pool.apply(EndpointChange::Updated("i-b".to_owned(), in_data_centre(2, "b")));
     }
     assert!((0..100).all(|draw| pick(&pool, draw).unwrap().id == "i-b"));
     pool.set_evacuated([].into_iter());
--- a/crates/ochreyard-core/tests/limit_model/fleet.rs
+++ b/crates/ochreyard-core/tests/limit_model/fleet.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::direct::{
-    EndpointChange, EndpointLife, EndpointPool, EndpointRecord, LimitNews, LimitWord, Outcome, Pick, RequestRate,
-    Sharers, Urgency,
+    EndpointChange, EndpointIncarnation, EndpointPool, EndpointRecord, LimitNews, LimitWord, Outcome, Pick,
+    RequestRate, Sharers, Urgency,
 };
 
 use super::draws::Draws;
@@ -122,7 +122,7 @@
         slots: SLOTS,
         is_leaving: false,
         cold_ms: 0,
-        born_ms: 1,
+        started_ms: 1,
     }
 }
 
@@ -135,7 +135,7 @@
     } else {
         all.clone()
     });
-    (0..setting.endpoints).for_each(|at| pool.apply(EndpointChange::Known(endpoint(at), record(at))));
+    (0..setting.endpoints).for_each(|at| pool.apply(EndpointChange::Updated(endpoint(at), record(at))));
     ModelBox { pool, gate: Gate::new(setting.way, setting.boxes as u64, all), heard: vec![0; setting.boxes], life }
 }
 
@@ -221,9 +221,10 @@
 
     fn send(&mut self, at: usize) {
         let blocked = self.boxes[at].gate.blocked(self.now_ms);
-        let tried: Vec<EndpointLife> = blocked.into_iter().map(|id| EndpointLife { id, born_ms: 1 }).collect();
+        let tried: Vec<EndpointIncarnation> =
+            blocked.into_iter().map(|id| EndpointIncarnation { id, started_ms: 1 }).collect();
         let draw = self.draws.number();
-        let Ok(pick) = self.boxes[at].pool.pick("brief", &tried, Urgency::InAim, draw, self.now_ms) else {
+        let Ok(pick) = self.boxes[at].pool.pick("brief", &tried, Urgency::OnTime, draw, self.now_ms) else {
             self.refused += 1;
             return;
         };
--- a/crates/ochreyard-core/tests/questions.rs
+++ b/crates/ochreyard-core/tests/poll_schedule.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ochreyard_core::direct::{BoxList, BoxRecord, Own, Position, Questions, Reading};
+use ochreyard_core::direct::{BoxList, BoxRecord, LocalBox, LogProgress, PollSchedule, Position};
 use ochreyard_core::hash;
 use rstest::rstest;
 
@@ -32,13 +32,13 @@
 struct BoxModel {
     name: String,
     others: BoxList,
-    reading: Reading,
-    questions: Questions,
+    reading: LogProgress,
+    questions: PollSchedule,
     version: u64,
 }
 
-const fn own(name: &str) -> Own<'_> {
-    Own { name, data_centre: "" }
+const fn own(name: &str) -> LocalBox<'_> {
+    LocalBox { name, data_centre: "" }
 }
 
 struct Fleet {
@@ -56,15 +56,15 @@
         let others = |own: usize| {
             let mut list = BoxList::default();
             for at in (0..count).filter(|at| *at != own) {
-                list.take(&name(at), record(at));
+                list.insert(&name(at), record(at));
             }
             list
         };
         let model = |at: usize| BoxModel {
             name: name(at),
             others: others(at),
-            reading: Reading::new(LEAVING_KNOWN_MS),
-            questions: Questions::default(),
+            reading: LogProgress::new(LEAVING_KNOWN_MS),
+            questions: PollSchedule::default(),
             version: NEW_VERSION - 1,
         };
         Self {
@@ -81,7 +81,7 @@
 
     fn reads_for_others(&self, at: usize) -> bool {
         let model = &self.boxes[at];
-        model.reading.box_to_ask(own(&model.name), &model.others, 0).is_none()
+        model.reading.source(own(&model.name), &model.others, 0).is_none()
     }
 
     /// A box that reads for others, or whose records are too old, reads those of endpoints; never the configuration.
@@ -95,18 +95,18 @@
         let draw = self.draw();
         let BoxModel { name, others, reading, questions, .. } = &mut self.boxes[at];
         let asked = questions.next(reading, own(name), others, draw, now_ms);
-        if let Some(to) = asked.relied_on.map(|addr| self.by_addr[&addr]) {
+        if let Some(to) = asked.source.map(|addr| self.by_addr[&addr]) {
             let is_slow = now_ms < SLOW_MS && self.reads_for_others(to) && self.draw().is_multiple_of(2);
             if is_slow {
-                self.boxes[at].reading.pass_over();
+                self.boxes[at].reading.skip_source();
             } else {
                 let (next, age_ms) =
-                    (self.boxes[to].reading.next().unwrap_or_default(), self.boxes[to].reading.age_ms(now_ms));
-                self.boxes[at].reading.take_told(next, now_ms.saturating_sub(age_ms), now_ms);
+                    (self.boxes[to].reading.next_position().unwrap_or_default(), self.boxes[to].reading.age_ms(now_ms));
+                self.boxes[at].reading.apply_peer_progress(next, now_ms.saturating_sub(age_ms), now_ms);
                 self.take_version(at, to);
             }
         }
-        if let Some(to) = asked.any.map(|addr| self.by_addr[&addr]) {
+        if let Some(to) = asked.random.map(|addr| self.by_addr[&addr]) {
             self.take_version(at, to);
         }
     }
--- a/crates/ochreyard-core/tests/return_model.rs
+++ b/crates/ochreyard-core/tests/return_model.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::direct::{
-    BoxList, BoxRecord, EndpointChange, EndpointPool, EndpointRecord, GroupNews, RankNews, TellerRole,
+    BoxList, BoxRecord, EndpointChange, EndpointPool, EndpointRecord, GroupUpdate, RankUpdate, ReporterRole,
 };
 use ochreyard_core::group_map::{Candidacy, candidate_place};
 use rstest::rstest;
@@ -58,7 +58,7 @@
         let boxes = records.iter().enumerate().map(|(number, (name, record))| {
             let mut others = BoxList::default();
             records.iter().filter(|(other, _)| other != name).for_each(|(other, record)| {
-                others.take(other, record.clone());
+                others.insert(other, record.clone());
             });
             ModelBox {
                 name: name.clone(),
@@ -160,22 +160,22 @@
             slots: 12,
             is_leaving: false,
             cold_ms: 0,
-            born_ms: 1,
+            started_ms: 1,
         };
-        pool.apply(EndpointChange::Known(endpoint(group, rank), record));
+        pool.apply(EndpointChange::Updated(endpoint(group, rank), record));
     }
     pool
 }
 
-fn news_of(group: usize) -> GroupNews {
-    let rank = |rank| RankNews { endpoint: endpoint(group, rank), running: 0, waiting: 0, pace_permille: 1_000 };
-    GroupNews {
+fn news_of(group: usize) -> GroupUpdate {
+    let rank = |rank| RankUpdate { endpoint: endpoint(group, rank), running: 0, waiting: 0, pace_permille: 1_000 };
+    GroupUpdate {
         service: "tiles".to_owned(),
         group: format!("g{group}"),
-        teller: TellerRole::Leads,
+        reporter_role: ReporterRole::Leads,
         is_serving: true,
         ranks: (0..SIZE).map(rank).collect(),
-        ..GroupNews::default()
+        ..GroupUpdate::default()
     }
 }
 
--- a/crates/ochreyard-core/tests/roster_loads.rs
+++ b/crates/ochreyard-core/tests/roster_loads.rs
@@ -3,14 +3,16 @@
 mod direct_fixture;
 
 use direct_fixture::endpoint;
-use ochreyard_core::direct::{EndpointChange, EndpointPool, GroupNews, RankNews, RosterLoads, TellerRole, Urgency};
+use ochreyard_core::direct::{
+    EndpointChange, EndpointPool, GroupUpdate, RankUpdate, ReporterRole, RosterLoads, Urgency,
+};
 use proptest::prelude::*;
 
-fn rank(at: usize, running: u64, waiting: u64, pace_permille: u64) -> RankNews {
-    RankNews { endpoint: format!("e{at}"), running, waiting, pace_permille }
+fn rank(at: usize, running: u64, waiting: u64, pace_permille: u64) -> RankUpdate {
+    RankUpdate { endpoint: format!("e{at}"), running, waiting, pace_permille }
 }
 
-fn names(ranks: &[RankNews]) -> Vec<String> {
+fn names(ranks: &[RankUpdate]) -> Vec<String> {
     ranks.iter().map(|rank| rank.endpoint.clone()).collect()
 }
 
@@ -19,7 +21,7 @@
     fn loads_are_read_as_they_were_told(
         loads in prop::collection::vec((0u64..75, 0u64..75, prop::sample::select(vec![1_000u64, 1_700, 900])), 0..100),
     ) {
-        let ranks: Vec<RankNews> = loads.iter().enumerate().map(|(at, load)| rank(at, load.0, load.1, load.2)).collect();
+        let ranks: Vec<RankUpdate> = loads.iter().enumerate().map(|(at, load)| rank(at, load.0, load.1, load.2)).collect();
         let text = serde_json::to_string(&RosterLoads::of(&ranks)).unwrap();
         let told: RosterLoads = serde_json::from_str(&text).unwrap();
         prop_assert_eq!(told.named(&names(&ranks)), Some(ranks));
@@ -44,24 +46,29 @@
 
 #[test]
 fn loads_of_96_ranks_take_a_few_hundred_bytes() {
-    let ranks: Vec<RankNews> =
-        (0..96).map(|at| RankNews { endpoint: format!("i-{at:010x}"), ..rank(at, 3, 1, 1_000) }).collect();
-    let news =
-        GroupNews { service: "brief".into(), group: "g0-1".into(), is_serving: true, ranks, ..GroupNews::default() };
+    let ranks: Vec<RankUpdate> =
+        (0..96).map(|at| RankUpdate { endpoint: format!("i-{at:010x}"), ..rank(at, 3, 1, 1_000) }).collect();
+    let news = GroupUpdate {
+        service: "brief".into(),
+        group: "g0-1".into(),
+        is_serving: true,
+        ranks,
+        ..GroupUpdate::default()
+    };
     let whole = serde_json::to_string(&news).unwrap().len();
     let short = serde_json::to_string(&news.without_names()).unwrap().len();
     assert!(short < 400 && short * 5 < whole, "{short} of {whole} bytes");
 }
 
-fn news(running: [u64; 2]) -> GroupNews {
+fn news(running: [u64; 2]) -> GroupUpdate {
     let ranks = vec![rank(1, running[0], 0, 1_000), rank(2, running[1], 0, 1_000)];
-    GroupNews {
+    GroupUpdate {
         service: "tiles".into(),
         group: "g".into(),
-        teller: TellerRole::Leads,
+        reporter_role: ReporterRole::Leads,
         is_serving: true,
         ranks,
-        ..GroupNews::default()
+        ..GroupUpdate::default()
     }
 }
 
@@ -69,14 +76,14 @@
 fn a_box_waits_for_names_that_it_does_not_know_and_then_reads_loads_by_them() {
     let mut pool = EndpointPool::new();
     for at in [1u16, 2] {
-        pool.apply(EndpointChange::Known(format!("e{at}"), endpoint(at)));
+        pool.apply(EndpointChange::Updated(format!("e{at}"), endpoint(at)));
     }
     pool.on_news(&news([1, 0]).without_names(), 0);
     let unled = pool.unled_groups("tiles", 0);
     assert_eq!((unled.known, unled.endpoints, unled.group_size), (0, 0, Some(2)), "both are about to be named");
     pool.on_news(&news([1, 0]), 300);
     assert_eq!(pool.unled_groups("tiles", 300).endpoints, 0);
-    assert!(pool.pick("tiles", &[], Urgency::InAim, 0, 300).is_ok());
+    assert!(pool.pick("tiles", &[], Urgency::OnTime, 0, 300).is_ok());
     pool.on_news(&news([0, 2]).without_names(), 600);
-    assert_eq!(pool.pick("tiles", &[], Urgency::InAim, 0, 600).unwrap().id, "e1", "e2 is the busier one now");
+    assert_eq!(pool.pick("tiles", &[], Urgency::OnTime, 0, 600).unwrap().id, "e1", "e2 is the busier one now");
 }
--- a/crates/ochreyard-core/tests/shared_limit.rs
+++ b/crates/ochreyard-core/tests/shared_limit.rs
@@ -107,19 +107,19 @@
         slots: 12,
         is_leaving: false,
         cold_ms: 0,
-        born_ms: 1,
+        started_ms: 1,
     }
 }
 
 fn pool() -> EndpointPool {
     let mut pool = EndpointPool::new();
     pool.set_sharers(sharers(0, 1));
-    pool.apply(EndpointChange::Known("i-0".to_owned(), record()));
+    pool.apply(EndpointChange::Updated("i-0".to_owned(), record()));
     pool
 }
 
 fn pick(pool: &EndpointPool, now_ms: u64) -> Result<Pick, NoPick> {
-    pool.pick("tiles", &[], Urgency::InAim, 0, now_ms)
+    pool.pick("tiles", &[], Urgency::OnTime, 0, now_ms)
 }
 
 const ALMOST_NONE: LimitWord = LimitWord::Limited(RequestRate::from_milli(50));
@@ -180,8 +180,8 @@
     let _ = pool.on_limit_word(&picked, ALMOST_NONE, 0, 1);
     pool.on_start(&picked);
     assert!(pool.try_send(&picked, None, 10));
-    pool.apply(EndpointChange::Gone("i-0".to_owned()));
-    pool.apply(EndpointChange::Known("i-0".to_owned(), record()));
+    pool.apply(EndpointChange::Removed("i-0".to_owned()));
+    pool.apply(EndpointChange::Updated("i-0".to_owned(), record()));
     assert!(matches!(pick(&pool, 20), Err(NoPick::Limited { .. })));
 }
 
@@ -189,7 +189,7 @@
 fn the_limit_of_a_life_before_says_nothing_of_the_next() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
-    pool.apply(EndpointChange::Known("i-0".to_owned(), EndpointRecord { born_ms: 2, ..record() }));
+    pool.apply(EndpointChange::Updated("i-0".to_owned(), EndpointRecord { started_ms: 2, ..record() }));
     let _ = pool.on_limit_word(&picked, ALMOST_NONE, 0, 1);
     for _ in 0..3 {
         let next = pick(&pool, 10).unwrap();
--- a/crates/ochreyard-core/tests/stand_load_model/entry_model.rs
+++ b/crates/ochreyard-core/tests/stand_load_model/entry_model.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::direct::{
-    Arrival, Choice, EndpointChange, EndpointPool, EndpointRecord, Homes, Outcome, Pick, Seeker, ServiceQueue, Ticket,
+    AllowedRegions, Arrival, DispatchDecision, EndpointChange, EndpointPool, EndpointRecord, Outcome, PendingRequest,
+    Pick, ServiceQueue, Ticket,
 };
 
 use super::{ENDPOINTS, ENTRIES, SERVICE, SLOTS};
@@ -31,9 +32,9 @@
     /// An entry that has served for a while, `serves_ms` a request.
     pub fn new(serves_ms: u64) -> Self {
         let mut pool = EndpointPool::new();
-        (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Known(endpoint_id(at), record(at))));
+        (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Updated(endpoint_id(at), record(at))));
         let mut queue = ServiceQueue::default();
-        queue.time.note(serves_ms);
+        queue.service_time.record(serves_ms);
         Self { pool, queue, waiting: Vec::new(), running: Vec::new() }
     }
 
@@ -52,10 +53,10 @@
         }
     }
 
-    pub fn choose(&mut self, of: &Try, draw: u64, now_ms: u64) -> Choice {
-        let seeker = Seeker {
+    pub fn choose(&mut self, of: &Try, draw: u64, now_ms: u64) -> DispatchDecision {
+        let seeker = PendingRequest {
             service: SERVICE,
-            homes: &Homes::ANY,
+            allowed_regions: &AllowedRegions::ANY,
             tried: &[],
             arrival: of.arrival,
             deadline_ms: of.deadline_ms,
@@ -64,7 +65,7 @@
             patience_ms: None,
             ticket: of.ticket,
         };
-        self.queue.choose(&self.pool, ENTRIES as u64, &seeker, draw, now_ms)
+        self.queue.decide(&self.pool, ENTRIES as u64, &seeker, draw, now_ms)
     }
 }
 
@@ -80,6 +81,6 @@
         slots: SLOTS,
         is_leaving: false,
         cold_ms: 0,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
--- a/crates/ochreyard-core/tests/stand_load_model/mod.rs
+++ b/crates/ochreyard-core/tests/stand_load_model/mod.rs
@@ -6,7 +6,7 @@
 use std::ops::Range;
 
 use entry_model::{EntryModel, Try, endpoint_id};
-use ochreyard_core::direct::{Choice, GroupNews, RankNews, TellerRole};
+use ochreyard_core::direct::{DispatchDecision, GroupUpdate, RankUpdate, ReporterRole};
 use ochreyard_core::hash;
 use played::Played;
 
@@ -88,16 +88,16 @@
         self.entries.iter_mut().for_each(|entry| entry.pool.on_news(&news, now_ms));
     }
 
-    fn news(&self, is_serving: bool) -> GroupNews {
+    fn news(&self, is_serving: bool) -> GroupUpdate {
         let rank = |at: usize| {
             let endpoint = endpoint_id(at);
             let running = self.entries.iter().map(|entry| entry.running_at(&endpoint)).sum();
-            RankNews { endpoint, running, waiting: 0, pace_permille: 1_000 }
+            RankUpdate { endpoint, running, waiting: 0, pace_permille: 1_000 }
         };
-        GroupNews {
+        GroupUpdate {
             service: SERVICE.to_owned(),
             group: "g".to_owned(),
-            teller: TellerRole::Leads,
+            reporter_role: ReporterRole::Leads,
             is_serving,
             step_ms: 60,
             ranks: (0..ENDPOINTS).map(rank).collect(),
@@ -138,22 +138,24 @@
         self.entries[entry].end_runs(now_ms);
         for mut of in std::mem::take(&mut self.entries[entry].waiting) {
             match self.entries[entry].choose(&of, hash::mix(of.caller as u64 ^ now_ms), now_ms) {
-                Choice::Wait(_) if now_ms >= of.came_ms + self.callers.patience_ms => self.leave(entry, &of, now_ms),
-                Choice::Wait(_) => {
-                    let line = &mut self.entries[entry].queue.line;
-                    of.ticket.get_or_insert_with(|| line.join(of.arrival.in_aim_until_ms, of.deadline_ms));
+                DispatchDecision::Wait(_) if now_ms >= of.came_ms + self.callers.patience_ms => {
+                    self.leave(entry, &of, now_ms)
+                }
+                DispatchDecision::Wait(_) => {
+                    let line = &mut self.entries[entry].queue.wait_queue;
+                    of.ticket.get_or_insert_with(|| line.join(of.arrival.on_time_until_ms, of.deadline_ms));
                     self.entries[entry].waiting.push(of);
                     continue;
                 }
-                Choice::Go(pick) => {
+                DispatchDecision::Send(pick) => {
                     let serves_ms = self.serves_ms(&pick.id);
                     self.entries[entry].run(pick, now_ms + serves_ms);
                     self.note_sent(&of, now_ms);
                 }
-                Choice::GiveUp(facts) => self.refuse(&of, facts.left_ms, now_ms),
+                DispatchDecision::GiveUp(facts) => self.refuse(&of, facts.left_ms, now_ms),
             }
             if let Some(ticket) = of.ticket {
-                self.entries[entry].queue.line.leave(ticket);
+                self.entries[entry].queue.wait_queue.leave(ticket);
                 self.played.held.push(of.came_ms);
             }
         }
@@ -167,7 +169,7 @@
     }
 
     fn note_sent(&mut self, of: &Try, now_ms: u64) {
-        let is_in_aim = of.is_first && now_ms < of.arrival.in_aim_until_ms;
+        let is_in_aim = of.is_first && now_ms < of.arrival.on_time_until_ms;
         self.played.sent_in_aim += u64::from(is_in_aim);
         self.played.sent_late += u64::from(!is_in_aim);
         self.played.firsts[of.caller].1 |= is_in_aim;
@@ -175,7 +177,7 @@
 
     /// A caller has lost patience. It asks again at once, if that was its first try.
     fn leave(&mut self, entry: usize, of: &Try, now_ms: u64) {
-        self.entries[entry].queue.patience.note(now_ms - of.came_ms);
+        self.entries[entry].queue.patience.record_abandonment(now_ms - of.came_ms);
         self.played.left += 1;
         if of.is_first {
             self.returns.push(Return { at_ms: now_ms, caller: of.caller, given_ms: of.deadline_ms - now_ms });
--- a/crates/ochreyard-core/tests/step_times.rs
+++ b/crates/ochreyard-core/tests/step_times.rs
@@ -1,6 +1,6 @@
 //! When shorter steps help callers.
 
-use ochreyard_core::direct::{Homes, Route, RouteKind, RouteTable, WeightedService};
+use ochreyard_core::direct::{AllowedRegions, Route, RouteKind, RouteTable, WeightedService};
 use ochreyard_core::group_map::StepTimes;
 use rstest::rstest;
 
@@ -67,7 +67,7 @@
         services: services.iter().map(weighted).collect(),
         max_attempts: 2,
         public: false,
-        homes: Homes::ANY,
+        allowed_regions: AllowedRegions::ANY,
     }
 }
 
@@ -77,7 +77,7 @@
         .with_route(route("/a/", &["x"], Some(150)))
         .with_route(route("/b/", &["x", "y"], Some(120)))
         .with_route(route("/c/", &["x", "z"], None));
-    assert_eq!(table.pause_aim_ms("x"), Some(120));
-    assert_eq!(table.pause_aim_ms("y"), Some(120));
-    assert_eq!(table.pause_aim_ms("z"), None);
+    assert_eq!(table.target_gap_ms("x"), Some(120));
+    assert_eq!(table.target_gap_ms("y"), Some(120));
+    assert_eq!(table.target_gap_ms("z"), None);
 }
--- a/crates/ochreyard-core/tests/store_return.rs
+++ b/crates/ochreyard-core/tests/store_return.rs
@@ -8,7 +8,7 @@
 mod store_return_model;
 
 use direct_fixture::endpoint;
-use ochreyard_core::direct::{Catalog, EndpointChange, EndpointRecord, Position, Reading};
+use ochreyard_core::direct::{Catalog, EndpointChange, EndpointRecord, LogProgress, Position};
 use proptest::prelude::*;
 use rstest::rstest;
 use store_return_model::{BOXES, ENDPOINTS, Op, World};
@@ -75,15 +75,15 @@
 }
 
 fn known(record: EndpointRecord) -> Option<EndpointChange> {
-    Some(EndpointChange::Known("e".to_owned(), record))
+    Some(EndpointChange::Updated("e".to_owned(), record))
 }
 
 fn leaving() -> EndpointRecord {
     EndpointRecord { is_leaving: true, ..endpoint(1) }
 }
 
-fn life(born_ms: u64) -> EndpointRecord {
-    EndpointRecord { born_ms, ..endpoint(1) }
+fn life(started_ms: u64) -> EndpointRecord {
+    EndpointRecord { started_ms, ..endpoint(1) }
 }
 
 #[rstest]
@@ -92,20 +92,20 @@
 #[case::a_later_life(Some(life(7)), life(3))]
 fn what_the_copy_lacks_stays_read(#[case] read: Option<EndpointRecord>, #[case] in_copy: EndpointRecord) {
     let mut catalog = Catalog::new();
-    catalog.on_return(1, None);
-    let _ = catalog.take("e", Position::new(1, 10), Some(in_copy.clone()), 100);
-    let _ = catalog.take("e", Position::new(1, 20), read, 200);
-    catalog.on_return(2, Some(1_000));
-    catalog.note_listing(Position::new(2, 14));
-    assert_eq!(catalog.take("e", Position::new(2, 10), Some(in_copy.clone()), 1_100), None);
-    let again = catalog.take("e", Position::new(2, 15), Some(in_copy), 1_200);
+    catalog.on_log_restored(1, None);
+    let _ = catalog.apply("e", Position::new(1, 10), Some(in_copy.clone()), 100);
+    let _ = catalog.apply("e", Position::new(1, 20), read, 200);
+    catalog.on_log_restored(2, Some(1_000));
+    catalog.on_listing_end(Position::new(2, 14));
+    assert_eq!(catalog.apply("e", Position::new(2, 10), Some(in_copy.clone()), 1_100), None);
+    let again = catalog.apply("e", Position::new(2, 15), Some(in_copy), 1_200);
     assert!(again.is_some(), "what it writes itself after the return holds");
 }
 
 #[test]
 fn a_lower_offset_of_a_later_era_is_later() {
     assert!(Position::new(2, 0) > Position::new(1, 900));
-    let mut reading = Reading::new(2_000);
+    let mut reading = LogProgress::new(2_000);
     assert!(reading.advance(Position::new(1, 900), 0));
     assert!(reading.advance(Position::new(2, 3), 10));
     assert!(!reading.advance(Position::new(1, 950), 20), "one that is behind tells nothing");
@@ -114,39 +114,39 @@
 #[test]
 fn a_box_of_an_older_era_takes_and_does_not_give() {
     let mut ahead = Catalog::new();
-    ahead.on_return(1, None);
-    ahead.on_return(2, Some(10));
-    assert_eq!(ahead.take("e", Position::new(1, 50), Some(endpoint(1)), 20), None);
-    assert_eq!(ahead.take("e", Position::new(2, 3), Some(endpoint(1)), 30), known(endpoint(1)));
+    ahead.on_log_restored(1, None);
+    ahead.on_log_restored(2, Some(10));
+    assert_eq!(ahead.apply("e", Position::new(1, 50), Some(endpoint(1)), 20), None);
+    assert_eq!(ahead.apply("e", Position::new(2, 3), Some(endpoint(1)), 30), known(endpoint(1)));
 }
 
 #[test]
 fn one_that_outlived_the_copy_tells_those_that_have_seen_the_copy_alone() {
     let mut old = Catalog::new();
-    old.on_return(1, None);
-    let _ = old.take("e", Position::new(1, 10), Some(endpoint(1)), 100);
-    let _ = old.take("e", Position::new(1, 20), Some(leaving()), 200);
-    old.on_return(2, Some(1_000));
-    let _ = old.take("e", Position::new(2, 10), Some(endpoint(1)), 1_100);
+    old.on_log_restored(1, None);
+    let _ = old.apply("e", Position::new(1, 10), Some(endpoint(1)), 100);
+    let _ = old.apply("e", Position::new(1, 20), Some(leaving()), 200);
+    old.on_log_restored(2, Some(1_000));
+    let _ = old.apply("e", Position::new(2, 10), Some(endpoint(1)), 1_100);
     let mut fresh = Catalog::new();
-    fresh.on_return(2, None);
-    let _ = fresh.take("e", Position::new(2, 10), Some(endpoint(1)), 1_100);
+    fresh.on_log_restored(2, None);
+    let _ = fresh.apply("e", Position::new(2, 10), Some(endpoint(1)), 1_100);
     let told: Vec<(Position, Option<EndpointRecord>)> =
         old.changed_since(Position::new(2, 11)).map(|(_, at, record)| (at, record.cloned())).collect();
     let (position, record) = told.into_iter().next().unwrap();
-    assert_eq!(fresh.take("e", position, record, 1_200), known(leaving()));
+    assert_eq!(fresh.apply("e", position, record, 1_200), known(leaving()));
 }
 
 #[test]
 fn an_endpoint_that_the_copy_lacks_may_write_again_for_two_seconds() {
     let mut catalog = Catalog::new();
-    catalog.on_return(1, None);
-    let _ = catalog.take("e", Position::new(1, 10), Some(endpoint(1)), 100);
-    catalog.on_return(2, Some(1_000));
+    catalog.on_log_restored(1, None);
+    let _ = catalog.apply("e", Position::new(1, 10), Some(endpoint(1)), 100);
+    catalog.on_log_restored(2, Some(1_000));
     let end = Position::new(2, 4);
-    assert!(catalog.keep_only(&std::collections::BTreeSet::new(), end, 1_100).is_empty());
-    assert!(catalog.overdue(2_900).is_empty());
-    assert_eq!(catalog.overdue(3_000), [EndpointChange::Gone("e".to_owned())]);
+    assert!(catalog.retain_listed(&std::collections::BTreeSet::new(), end, 1_100).is_empty());
+    assert!(catalog.expire_unconfirmed(2_900).is_empty());
+    assert_eq!(catalog.expire_unconfirmed(3_000), [EndpointChange::Removed("e".to_owned())]);
 }
 
 #[rstest]
--- a/crates/ochreyard-core/tests/store_return_model/mod.rs
+++ b/crates/ochreyard-core/tests/store_return_model/mod.rs
@@ -69,20 +69,20 @@
     fn note_era(&mut self, era: u64, now_ms: u64) {
         if self.era.is_none_or(|known| known < era) {
             let before = self.era.replace(era);
-            self.catalog.on_return(era, before.map(|_| now_ms));
+            self.catalog.on_log_restored(era, before.map(|_| now_ms));
         }
     }
 
     fn apply(&mut self, changes: impl IntoIterator<Item = EndpointChange>) {
         for change in changes {
             match change {
-                EndpointChange::Known(id, record) => {
+                EndpointChange::Updated(id, record) => {
                     if record.is_leaving {
-                        self.over.insert((id.clone(), record.born_ms));
+                        self.over.insert((id.clone(), record.started_ms));
                     }
                     self.known.insert(id, record);
                 }
-                EndpointChange::Gone(id) => drop(self.known.remove(&id)),
+                EndpointChange::Removed(id) => drop(self.known.remove(&id)),
             }
         }
     }
@@ -139,7 +139,7 @@
             Op::Pass => self.now_ms += SETTLE_MS,
         }
         self.boxes.iter_mut().for_each(|model| {
-            let overdue = model.catalog.overdue(self.now_ms);
+            let overdue = model.catalog.expire_unconfirmed(self.now_ms);
             model.apply(overdue);
         });
         self.nothing_goes_back();
@@ -147,7 +147,7 @@
 
     fn record(&self, at: usize) -> EndpointRecord {
         let Endpoint { phase, life } = &self.endpoints[at];
-        EndpointRecord { is_leaving: *phase == Phase::Leaving, born_ms: *life, ..endpoint(at as u16 + 1) }
+        EndpointRecord { is_leaving: *phase == Phase::Leaving, started_ms: *life, ..endpoint(at as u16 + 1) }
     }
 
     fn write(&mut self, at: usize) {
@@ -200,14 +200,14 @@
         let end = self.log.len() as u64;
         let model = &mut self.boxes[at];
         model.note_era(era, now_ms);
-        model.catalog.note_listing(Position::new(era, end));
+        model.catalog.on_listing_end(Position::new(era, end));
         for (endpoint, (offset, record)) in &newest {
             let change =
-                model.catalog.take(&name(*endpoint), Position::new(era, *offset), Some(record.clone()), now_ms);
+                model.catalog.apply(&name(*endpoint), Position::new(era, *offset), Some(record.clone()), now_ms);
             model.apply(change);
         }
         let listed: BTreeSet<String> = newest.keys().map(|endpoint| name(*endpoint)).collect();
-        let missing = model.catalog.keep_only(&listed, next, now_ms);
+        let missing = model.catalog.retain_listed(&listed, next, now_ms);
         model.apply(missing);
         model.next = model.next.max(Some(next));
         model.listed = Some(era);
@@ -221,7 +221,7 @@
         let model = &mut self.boxes[at];
         for (offset, Entry { endpoint, record, ends }) in self.log.iter().enumerate().skip(first) {
             let position = Position::new(era, offset as u64);
-            let change = model.catalog.take(&name(*endpoint), position, record.clone(), now_ms);
+            let change = model.catalog.apply(&name(*endpoint), position, record.clone(), now_ms);
             model.apply(change);
             let is_gone = !model.known.contains_key(&name(*endpoint));
             model.over.extend(ends.filter(|_| is_gone).map(|life| (name(*endpoint), life)));
@@ -239,7 +239,7 @@
         let model = &mut self.boxes[to];
         model.note_era(next.era, now_ms);
         for (id, position, record) in told {
-            let change = model.catalog.take(&id, position, record, now_ms);
+            let change = model.catalog.apply(&id, position, record, now_ms);
             model.apply(change);
         }
         // One that learns of a return reads all again before it relies on what it is told.
@@ -254,8 +254,8 @@
             for (id, record) in &model.known {
                 let at: usize = id[2..].parse().unwrap();
                 let Endpoint { phase, life: present } = &self.endpoints[at];
-                let is_over = record.born_ms < *present || *phase != Phase::Ready;
-                let life = (id.clone(), record.born_ms);
+                let is_over = record.started_ms < *present || *phase != Phase::Ready;
+                let life = (id.clone(), record.started_ms);
                 let was_known = model.over.contains(&life) && !self.lapsed.contains(&life);
                 assert!(record.is_leaving || !is_over || !was_known, "{id} went back to {record:?}");
             }
--- a/crates/ochreyard-direct/src/connection_pool.rs
+++ b/crates/ochreyard-direct/src/connection_pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::HeaderMap;
-use ochreyard_core::direct::{EndpointLife, Pick};
+use ochreyard_core::direct::{EndpointIncarnation, Pick};
 
 use crate::connection::Connection;
 
@@ -27,7 +27,7 @@
 /// Its address may later belong to another one, and what is still open to a life before leads nowhere.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: HashMap<(EndpointLife, SocketAddr), Vec<Idle>>,
+    idle: HashMap<(EndpointIncarnation, SocketAddr), Vec<Idle>>,
 }
 
 impl ConnectionPool {
--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineFigures, GroupNews, Position, RepeatLimits};
+use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineSpec, GroupUpdate, Position, RetryBudgetLimits};
 use ochreyard_core::hash;
 use ochreyard_process::Clock;
 use tokio::sync::{Notify, watch};
@@ -73,7 +73,7 @@
     /// An entry that knows nothing yet. An endpoint that leaves must get no more work
     /// after `leaving_known_ms`.
     #[must_use]
-    pub fn new(dialect: D, identity: Identity, limits: RepeatLimits, leaving_known_ms: u64, clock: Clock) -> Self {
+    pub fn new(dialect: D, identity: Identity, limits: RetryBudgetLimits, leaving_known_ms: u64, clock: Clock) -> Self {
         let state = State::new(limits, leaving_known_ms);
         let draws = Cell::new(identity.life);
         Self {
@@ -128,26 +128,31 @@
     pub fn grouped_services(&self) -> Vec<String> {
         let state = self.state.borrow();
         let services = state.table.iter().flat_map(|table| table.services());
-        let is_grouped = |figures: EngineFigures| figures.sets > 0;
+        let is_grouped = |figures: EngineSpec| figures.sets > 0;
         services.filter(|service| service.engine.is_some_and(is_grouped)).map(|service| service.name.clone()).collect()
     }
 
     /// What the configuration says of the engines of a service.
-    pub fn engine_figures(&self, service: &str) -> Option<EngineFigures> {
+    pub fn engine_figures(&self, service: &str) -> Option<EngineSpec> {
         self.state.borrow().table.as_ref()?.service(service)?.engine
     }
 
     /// Takes what the leader of a group, or an observer, told of it.
-    pub fn take_group_news(&self, news: &GroupNews) {
+    pub fn take_group_news(&self, news: &GroupUpdate) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().pool.on_news(news, now_ms);
-        log::debug!("event=group_told group={} teller={:?} serving={}", news.group, news.teller, news.is_serving);
+        log::debug!(
+            "event=group_told group={} teller={:?} serving={}",
+            news.group,
+            news.reporter_role,
+            news.is_serving
+        );
     }
 
     /// The box to ask for records of endpoints; `None` where this one reads for the others.
     pub fn box_to_ask(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.reading.box_to_ask(self.identity.own(), &state.boxes, self.clock.now_ms())
+        state.reading.source(self.identity.own(), &state.boxes, self.clock.now_ms())
     }
 
     /// Takes a configuration over if it is newer than the one in force: never an
@@ -183,7 +188,7 @@
             }
         };
         let now_ms = self.clock.now_ms();
-        let change = self.state.borrow_mut().catalog.take(id, position, record, now_ms);
+        let change = self.state.borrow_mut().catalog.apply(id, position, record, now_ms);
         self.apply(change);
     }
 
@@ -191,7 +196,7 @@
     pub fn take_peer_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let now_ms = self.clock.now_ms();
         for PeerEndpoint { id, position, record } in endpoints {
-            let change = self.state.borrow_mut().catalog.take(&id, position, record, now_ms);
+            let change = self.state.borrow_mut().catalog.apply(&id, position, record, now_ms);
             self.apply(change);
         }
     }
@@ -205,18 +210,18 @@
     pub fn apply(&self, changes: impl IntoIterator<Item = EndpointChange>) {
         for change in changes {
             match &change {
-                EndpointChange::Known(id, record) => log::info!(
+                EndpointChange::Updated(id, record) => log::info!(
                     "event=endpoint_known endpoint={id} service={} addr={} leaving={} cold_ms={}",
                     record.service,
                     record.addr,
                     record.is_leaving,
                     record.cold_ms
                 ),
-                EndpointChange::Gone(id) => log::info!("event=endpoint_gone endpoint={id}"),
+                EndpointChange::Removed(id) => log::info!("event=endpoint_gone endpoint={id}"),
             }
             let cold = match &change {
-                EndpointChange::Known(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
-                EndpointChange::Known(..) | EndpointChange::Gone(_) => None,
+                EndpointChange::Updated(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
+                EndpointChange::Updated(..) | EndpointChange::Removed(_) => None,
             };
             let now_ms = self.clock.now_ms();
             let mut state = self.state.borrow_mut();
@@ -234,7 +239,7 @@
         }
         let mut state = self.state.borrow_mut();
         let addr = record.addr;
-        if state.boxes.take(name, record) {
+        if state.boxes.insert(name, record) {
             self.deal_shares(&mut state);
             log::info!("event=box_known box={name} addr={addr} boxes={}", state.boxes.len() + 1);
         }
@@ -257,7 +262,7 @@
         if answers {
             state.catalog.on_log_read(now_ms);
         } else {
-            state.catalog.on_log_away(now_ms);
+            state.catalog.on_log_unreachable(now_ms);
         }
         if state.log_answers != answers {
             state.log_answers = answers;
--- a/crates/ochreyard-direct/src/entry/identity.rs
+++ b/crates/ochreyard-direct/src/entry/identity.rs
@@ -1,6 +1,6 @@
 //! Who a process is.
 
-use ochreyard_core::direct::{BoxRecord, Own};
+use ochreyard_core::direct::{BoxRecord, LocalBox};
 
 /// Who this process is.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
 impl Identity {
     /// This box, as it looks for its duty among all boxes.
     #[must_use]
-    pub fn own(&self) -> Own<'_> {
-        Own { name: &self.name, data_centre: &self.data_centre }
+    pub fn own(&self) -> LocalBox<'_> {
+        LocalBox { name: &self.name, data_centre: &self.data_centre }
     }
 }
--- a/crates/ochreyard-direct/src/entry/state.rs
+++ b/crates/ochreyard-direct/src/entry/state.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use ochreyard_core::direct::{
-    BoxList, Catalog, EndpointPool, Evacuations, Quarantine, Reading, RepeatBudget, RepeatLimits, RouteTable,
-    ServiceQueue, Sharers,
+    BoxList, Catalog, EndpointPool, Evacuations, LogProgress, Quarantine, RetryBudgetLimits, RouteTable, ServiceQueue,
+    SharedRetryBudget, Sharers,
 };
 
 use crate::connection_pool::ConnectionPool;
@@ -22,13 +22,13 @@
     /// The data centres that operators have evacuated.
     pub evacuations: Evacuations,
     /// How far and how recently the records of endpoints were read, here or by another box.
-    pub reading: Reading,
+    pub reading: LogProgress,
     /// The endpoints as seen from here.
     pub pool: EndpointPool,
     /// Kept connections to endpoints.
     pub connections: ConnectionPool,
     /// How often a request may be sent again.
-    pub budget: RepeatBudget,
+    pub budget: SharedRetryBudget,
     /// Requests that wait, by service.
     pub queues: HashMap<String, ServiceQueue>,
     /// What is known of requests that crash endpoints.
@@ -46,16 +46,16 @@
 impl State {
     /// A state in which nothing is known. An endpoint that leaves must get no more work after `leaving_known_ms`.
     #[must_use]
-    pub fn new(limits: RepeatLimits, leaving_known_ms: u64) -> Self {
+    pub fn new(limits: RetryBudgetLimits, leaving_known_ms: u64) -> Self {
         Self {
             table: None,
             config_document: Bytes::new(),
             catalog: Catalog::new(),
             evacuations: Evacuations::default(),
-            reading: Reading::new(leaving_known_ms),
+            reading: LogProgress::new(leaving_known_ms),
             pool: EndpointPool::new(),
             connections: ConnectionPool::default(),
-            budget: RepeatBudget::new(limits, Sharers::default().count()),
+            budget: SharedRetryBudget::new(limits, Sharers::default().count()),
             queues: HashMap::new(),
             quarantine: Quarantine::default(),
             boxes: BoxList::default(),
--- a/crates/ochreyard-direct/src/evacuations.rs
+++ b/crates/ochreyard-direct/src/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use ochreyard_core::direct::{EvacuationNews, Position};
+use ochreyard_core::direct::{EvacuationUpdate, Position};
 
 use crate::dialect::{Dialect, OperatorKey};
 use crate::entry::{Entry, State};
@@ -18,7 +18,7 @@
         });
         let listed: BTreeSet<&str> = evacuated.collect();
         let mut state = self.state.borrow_mut();
-        state.evacuations.keep_only(&listed, page.next);
+        state.evacuations.retain_listed(&listed, page.next);
         Self::follow_evacuations(&mut state, "listing");
     }
 
@@ -42,18 +42,18 @@
     fn take_evacuation(&self, data_centre: &str, position: Position, is_in_force: bool) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        if state.evacuations.take(data_centre, position, is_in_force, now_ms) {
+        if state.evacuations.apply(data_centre, position, is_in_force, now_ms) {
             Self::follow_evacuations(&mut state, "log");
         }
     }
 
     /// Takes what another box tells of evacuations.
-    pub fn take_evacuation_news(&self, news: &[EvacuationNews]) {
+    pub fn take_evacuation_news(&self, news: &[EvacuationUpdate]) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         let is_news = news
             .iter()
-            .filter(|told| state.evacuations.take(&told.data_centre, told.position, told.is_in_force, now_ms));
+            .filter(|told| state.evacuations.apply(&told.data_centre, told.position, told.is_in_force, now_ms));
         if is_news.count() > 0 {
             Self::follow_evacuations(&mut state, "box");
         }
@@ -63,7 +63,7 @@
     pub fn settle_evacuations(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
-        if state.evacuations.settle(now_ms) {
+        if state.evacuations.expire_missing(now_ms) {
             Self::follow_evacuations(&mut state, "not_written_again");
         }
     }
--- a/crates/ochreyard-direct/src/follow/boxes.rs
+++ b/crates/ochreyard-direct/src/follow/boxes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::noted;
 use crate::dialect::Dialect;
@@ -20,7 +20,7 @@
 pub async fn follow_boxes<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut returns = entry.returns.subscribe();
     let mut is_written = false;
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start().await;
     loop {
         entry.wait_while_told().await;
@@ -48,8 +48,8 @@
         }
         let pause = match entry.duty() {
             _ if page.is_none() || !is_written => entry.pause_after_failure(&mut pauses),
-            Duty::Reads => BOXES_EVERY,
-            Duty::Relays | Duty::Told => RELAY_BOXES_EVERY,
+            ReadRole::Reader => BOXES_EVERY,
+            ReadRole::Relay | ReadRole::Follower => RELAY_BOXES_EVERY,
         };
         if tokio::time::timeout(pause, returns.changed()).await.is_ok() {
             // What the log had acknowledged is gone: this box may be in its list no more.
--- a/crates/ochreyard-direct/src/follow/config.rs
+++ b/crates/ochreyard-direct/src/follow/config.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::{after_last, noted};
 use crate::dialect::Dialect;
@@ -20,7 +20,7 @@
 /// where they tell it too little.
 pub async fn follow_config<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut returns = entry.returns.subscribe();
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start().await;
     'outage: loop {
         entry.wait_while_told().await;
@@ -36,9 +36,9 @@
         let mut from = after_last(&page);
         loop {
             let wait_ms = match entry.duty() {
-                Duty::Reads => READER_WAIT_MS,
-                Duty::Relays => RELAY_WAIT_MS,
-                Duty::Told => {
+                ReadRole::Reader => READER_WAIT_MS,
+                ReadRole::Relay => RELAY_WAIT_MS,
+                ReadRole::Follower => {
                     tokio::time::sleep(entry.pause_after_failure(&mut pauses)).await;
                     continue 'outage;
                 }
--- a/crates/ochreyard-direct/src/follow/endpoints.rs
+++ b/crates/ochreyard-direct/src/follow/endpoints.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::{after_last, noted};
 use crate::dialect::Dialect;
@@ -21,7 +21,7 @@
 /// for the next record would return at once.
 pub async fn follow_endpoints<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut returns = entry.returns.subscribe();
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start().await;
     // What was told at the start need not be listed.
     let mut is_listed = entry.is_well_told() && !entry.is_seed.get();
@@ -48,10 +48,10 @@
     let Some(page) = noted(entry, log, log.newest(Topic::Endpoints).await) else { return false };
     let listed: BTreeSet<String> = page.records.iter().map(|record| record.key.clone()).collect();
     let from = after_last(&page);
-    entry.state.borrow_mut().catalog.note_listing(page.next);
+    entry.state.borrow_mut().catalog.on_listing_end(page.next);
     take_endpoints(entry, &page.records);
     let now_ms = entry.clock.now_ms();
-    let missing = entry.state.borrow_mut().catalog.keep_only(&listed, from, now_ms);
+    let missing = entry.state.borrow_mut().catalog.retain_listed(&listed, from, now_ms);
     entry.apply(missing);
     entry.state.borrow_mut().reading.advance(from, asked_ms);
     true
@@ -69,7 +69,7 @@
 /// Waits for one pause. Says whether this box has to read by then: others may have told it enough.
 async fn is_due_after_pause<D: Dialect>(entry: &Entry<D>) -> bool {
     let pause = Duration::from_millis(entry.state.borrow().reading.pause_ms());
-    if entry.duty() == Duty::Reads {
+    if entry.duty() == ReadRole::Reader {
         tokio::time::sleep(pause).await;
         return true;
     }
@@ -86,7 +86,7 @@
 /// Reads the records since the last reading; `false` if the log failed.
 async fn read_changes<D: Dialect, L: KeyedLog>(entry: &Rc<Entry<D>>, log: &L) -> bool {
     let asked_ms = entry.clock.now_ms();
-    let Some(from) = entry.state.borrow().reading.next() else { return false };
+    let Some(from) = entry.state.borrow().reading.next_position() else { return false };
     let Some(page) = noted(entry, log, log.read(Topic::Endpoints, from, 0).await) else { return false };
     if page.next.era != from.era {
         return false;
@@ -111,7 +111,7 @@
     let leaves = |id: &str| state.pool.record(id).is_none_or(|record| record.is_leaving);
     let left = known_before.into_iter().filter(|id| leaves(id));
     left.filter_map(|id| {
-        let (position, record) = state.catalog.told(&id)?;
+        let (position, record) = state.catalog.published(&id)?;
         Some(PeerEndpoint { id, position, record: record.cloned() })
     })
     .collect()
@@ -119,7 +119,7 @@
 
 fn settle_overdue<D: Dialect>(entry: &Entry<D>) {
     let now_ms = entry.clock.now_ms();
-    let overdue = entry.state.borrow_mut().catalog.overdue(now_ms);
+    let overdue = entry.state.borrow_mut().catalog.expire_unconfirmed(now_ms);
     entry.apply(overdue);
 }
 
--- a/crates/ochreyard-direct/src/follow/quarantine.rs
+++ b/crates/ochreyard-direct/src/follow/quarantine.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{Duty, Fingerprint, QuarantineNews, RetryPauses, VerdictNews};
+use ochreyard_core::direct::{Fingerprint, LogRetryBackoff, QuarantineNews, ReadRole, VerdictNews};
 use serde::{Deserialize, Serialize};
 
 use super::noted;
@@ -24,10 +24,10 @@
 /// log comes back from an older copy, those that are known are written again, and so are releases: the copy may hold what was
 /// released since.
 pub async fn keep_verdicts<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start().await;
     // Whoever told it of everything else told it of the verdicts, too.
-    let is_told = |entry: &Entry<D>| entry.duty() == Duty::Told && entry.is_well_told();
+    let is_told = |entry: &Entry<D>| entry.duty() == ReadRole::Follower && entry.is_well_told();
     while !is_told(&entry) && !read_verdicts(&entry, &log).await {
         tokio::time::sleep(entry.pause_after_failure(&mut pauses)).await;
     }
--- a/crates/ochreyard-direct/src/forward.rs
+++ b/crates/ochreyard-direct/src/forward.rs
@@ -88,7 +88,10 @@
     if table.needs_key() && !route.public && workspace.is_none() {
         return Err(ErrorKind::Unauthenticated);
     }
-    let homes = workspace.map_or_else(|| route.homes.clone(), |workspace| route.homes.and(&workspace.homes));
+    let homes = workspace.map_or_else(
+        || route.allowed_regions.clone(),
+        |workspace| route.allowed_regions.intersect(&workspace.allowed_regions),
+    );
     let service = route.service_for(entry.draw()).ok_or(ErrorKind::NoEndpoint)?.to_owned();
     let caller_ms = text(&head.headers, &names.deadline_ms).and_then(|value| value.trim().parse::<u64>().ok());
     let held_ms = caller_ms.map_or(route.timeout_ms, |ms| ms.min(route.timeout_ms));
@@ -119,7 +122,7 @@
         may_have_run: false,
         fingerprint: OnceCell::new(),
         is_tried: false,
-        end: TryEnd::new(entry, &service, arrival.has_come_back),
+        end: TryEnd::new(entry, &service, arrival.is_caller_retry),
         service,
         started_ms,
         config_version: table.version(),
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -10,7 +10,7 @@
 
 use http::Response;
 use ochreyard_core::direct::{
-    Arrival, EndpointLife, Fingerprint, Homes, LostRequest, Outcome, Pick, Route, RouteKind, WaitFacts,
+    AllowedRegions, Arrival, EndpointIncarnation, Fingerprint, LostRequest, Outcome, Pick, Route, RouteKind, WaitFacts,
 };
 
 use crate::answer::{Answer, pass_on};
@@ -46,7 +46,7 @@
     /// The service that serves it.
     pub service: String,
     /// Where it may run.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// The bytes of its body.
     pub _held_body: HeldBytes<D>,
     /// The request itself.
@@ -70,7 +70,7 @@
     /// Attempts that were refused because the whole group stood.
     pub refused_by_stands: usize,
     /// Lives of endpoints that were tried.
-    pub tried: Vec<EndpointLife>,
+    pub tried: Vec<EndpointIncarnation>,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
     /// What tells that this request comes again, once that was asked for.
@@ -171,7 +171,7 @@
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
         state.pool.should_leave(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
-            && state.budget.has_one(&self.service, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
     }
 
     /// Counts an attempt. An endpoint that was not reached never had the request. Where the
@@ -238,7 +238,7 @@
         self.end.on_served();
         let took_ms = self.entry.clock.now_ms().saturating_sub(self.attempt_started_ms);
         let mut state = self.entry.state.borrow_mut();
-        state.queue(&self.service).time.note(took_ms);
+        state.queue(&self.service).service_time.record(took_ms);
         let is_any_suspected = !state.quarantine.is_empty();
         drop(state);
         if is_any_suspected {
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Choice, Clearance, EndpointPool, NoPick, Pick, Seeker};
+use ochreyard_core::direct::{Clearance, DispatchDecision, EndpointPool, NoPick, PendingRequest, Pick};
 
 use super::Job;
 use crate::dialect::Dialect;
@@ -89,15 +89,15 @@
         }
         let entry = Rc::clone(&self.entry);
         let mut state = entry.state.borrow_mut();
-        if self.has_arrived && !state.budget.has_one(&self.service, now_ms) {
+        if self.has_arrived && !state.budget.has_retry(&self.service, now_ms) {
             return Err(GivenUp::Budget.into());
         }
         let boxes = state.boxes.len() as u64 + 1;
-        let seeker = Seeker { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
+        let seeker = PendingRequest { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.choose(pool, boxes, &seeker, entry.draw(), now_ms) {
-            Choice::Go(pick) => {
+        match queue.decide(pool, boxes, &seeker, entry.draw(), now_ms) {
+            DispatchDecision::Send(pick) => {
                 if self.has_arrived && state.budget.try_take(&self.service, now_ms) {
                     meters::on_repeat(&self.service);
                 }
@@ -108,11 +108,11 @@
                 }
                 Ok(pick)
             }
-            Choice::Wait(facts) => {
+            DispatchDecision::Wait(facts) => {
                 self.last_facts = Some(facts);
                 Err(NotPicked::Wait)
             }
-            Choice::GiveUp(facts) => {
+            DispatchDecision::GiveUp(facts) => {
                 self.last_facts = Some(facts);
                 Err(given_up(facts.no_pick, last, now_ms).into())
             }
@@ -140,10 +140,10 @@
         }
     }
 
-    fn seeker(&self) -> Seeker<'_> {
-        Seeker {
+    fn seeker(&self) -> PendingRequest<'_> {
+        PendingRequest {
             service: &self.service,
-            homes: &self.homes,
+            allowed_regions: &self.homes,
             tried: &self.tried,
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
@@ -161,7 +161,7 @@
         self.route.kind.may_run_again()
             && self.sent < self.route.max_attempts
             && self.time_left_ms() >= LEAST_USEFUL_MS
-            && state.budget.has_one(&self.service, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
             && self.finds_another(&state.pool, now_ms)
     }
 
--- a/crates/ochreyard-direct/src/log_duty.rs
+++ b/crates/ochreyard-direct/src/log_duty.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
@@ -19,15 +19,15 @@
 
 impl<D: Dialect> Entry<D> {
     /// What it does to know what the log holds.
-    pub fn duty(&self) -> Duty {
-        Duty::of(self.identity.own(), &self.state.borrow().boxes, self.clock.now_ms())
+    pub fn duty(&self) -> ReadRole {
+        ReadRole::of(self.identity.own(), &self.state.borrow().boxes, self.clock.now_ms())
     }
 
     /// Whether others have told it all, and something fresh of late.
     pub fn is_well_told(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
-        state.table.is_some() && state.reading.is_told(now_ms)
+        state.table.is_some() && state.reading.has_fresh_peer(now_ms)
     }
 
     /// Whether what it knows of endpoints is fresh, by whomever it was read.
@@ -47,7 +47,7 @@
         let mut state = self.state.borrow_mut();
         state.boxes.on_heard(from, now_ms);
         for name in silent.iter().filter(|name| **name != self.identity.name) {
-            state.boxes.take_silent(name, now_ms);
+            state.boxes.apply_reported_silence(name, now_ms);
         }
     }
 
@@ -62,14 +62,14 @@
     /// Waits for as long as others tell it enough. Where they do not, one call of its own, to read the records of endpoints,
     /// finds out whether the log answers; all others wait for that.
     pub async fn wait_while_told(&self) {
-        while self.duty() == Duty::Told && (self.is_well_told() || !self.state.borrow().log_answers) {
+        while self.duty() == ReadRole::Follower && (self.is_well_told() || !self.state.borrow().log_answers) {
             tokio::time::sleep(TOLD_LOOK).await;
         }
     }
 
     /// How long to wait after one more call that failed.
-    pub fn pause_after_failure(&self, pauses: &mut RetryPauses) -> Duration {
-        let in_time_ms = self.state.borrow().reading.in_time_ms();
-        Duration::from_millis(pauses.after_failure(self.duty(), in_time_ms, self.draw()))
+    pub fn pause_after_failure(&self, pauses: &mut LogRetryBackoff) -> Duration {
+        let in_time_ms = self.state.borrow().reading.leave_propagation_ms();
+        Duration::from_millis(pauses.next_delay_ms(self.duty(), in_time_ms, self.draw()))
     }
 }
--- a/crates/ochreyard-direct/src/log_news.rs
+++ b/crates/ochreyard-direct/src/log_news.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{EvacuationNews, tells_all, tells_data_centre};
+use ochreyard_core::direct::{EvacuationUpdate, broadcasts_to_data_centre, broadcasts_to_fleet};
 use serde::{Deserialize, Serialize};
 
 use crate::dialect::Dialect;
@@ -20,7 +20,7 @@
     pub config: Option<String>,
     /// Evacuations of data centres.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationUpdate>,
 }
 
 impl News for OperatorNews {
@@ -54,13 +54,13 @@
     /// to here.
     pub fn tell_of_operators(self: &Rc<Self>, version_before: Option<u64>) {
         let state = self.state.borrow();
-        if !tells_data_centre(self.identity.own(), &state.boxes, self.clock.now_ms()) {
+        if !broadcasts_to_data_centre(self.identity.own(), &state.boxes, self.clock.now_ms()) {
             return;
         }
         let version = state.table.as_ref().map(|table| table.version());
         let is_newer = version > version_before;
         let document = is_newer.then(|| String::from_utf8(state.config_document.to_vec()).ok()).flatten();
-        let news = OperatorNews { config: document, evacuations: state.evacuations.news().collect() };
+        let news = OperatorNews { config: document, evacuations: state.evacuations.updates().collect() };
         drop(state);
         if news != OperatorNews::default() {
             tell_data_centre(self, &news);
@@ -71,7 +71,7 @@
     pub fn tell_of_leaving(self: &Rc<Self>, endpoints: Vec<PeerEndpoint>) {
         let tells = {
             let state = self.state.borrow();
-            tells_all(self.identity.own(), &state.boxes, self.clock.now_ms())
+            broadcasts_to_fleet(self.identity.own(), &state.boxes, self.clock.now_ms())
         };
         if tells && !endpoints.is_empty() {
             tell_all(self, &LeavingNews { endpoints });
--- a/crates/ochreyard-direct/src/log_return.rs
+++ b/crates/ochreyard-direct/src/log_return.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ochreyard_core::direct::Duty;
+use ochreyard_core::direct::ReadRole;
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
@@ -22,10 +22,10 @@
         }
         let before = state.era.replace(era);
         let now_ms = self.clock.now_ms();
-        state.catalog.on_return(era, before.map(|_| now_ms));
-        state.evacuations.on_return(era, now_ms);
+        state.catalog.on_log_restored(era, before.map(|_| now_ms));
+        state.evacuations.on_log_restored(era, now_ms);
         let Some(before) = before else { return };
-        let next = state.reading.next().unwrap_or_default();
+        let next = state.reading.next_position().unwrap_or_default();
         log::warn!("event=log_came_back era={era} before={before} read_up_to={next} source={source}");
         drop(state);
         meters::on_log_came_back();
@@ -35,7 +35,7 @@
     /// Waits for a part of the time in which all boxes read the log again, a different one each time: it takes a bounded
     /// number of calls a second. Boxes that read for others do not wait.
     pub async fn spread(&self) {
-        let is_reader = self.duty() == Duty::Reads;
+        let is_reader = self.duty() == ReadRole::Reader;
         let pause_ms = if is_reader { 0 } else { self.draw() % READ_AGAIN_WITHIN_MS };
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
--- a/crates/ochreyard-direct/src/meters.rs
+++ b/crates/ochreyard-direct/src/meters.rs
@@ -94,7 +94,7 @@
         gauge("ochreyard_direct_limit_per_second").set(limits.limit_per_s);
         gauge("ochreyard_direct_limit_share_per_second").set(limits.share_per_s);
         gauge("ochreyard_direct_limit_sent_per_second").set(limits.sent_per_s);
-        metrics::gauge!("ochreyard_direct_waiting", "service" => service.clone()).set(queue.line.len() as f64);
+        metrics::gauge!("ochreyard_direct_waiting", "service" => service.clone()).set(queue.wait_queue.len() as f64);
     }
     handle.render()
 }
--- a/crates/ochreyard-direct/src/peers/ask.rs
+++ b/crates/ochreyard-direct/src/peers/ask.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ochreyard_core::direct::Questions;
+use ochreyard_core::direct::PollSchedule;
 
 use super::peer_reading::PeerReading;
 use super::peer_state::PeerState;
@@ -30,7 +30,7 @@
 /// Asks other boxes. `seeds` are addresses that are tried beside the boxes that are known.
 pub async fn keep_asking<D: Dialect>(entry: Rc<Entry<D>>, seeds: Vec<SocketAddr>) {
     let mut links: BTreeMap<SocketAddr, Rc<CallLink>> = BTreeMap::new();
-    let mut questions = Questions::default();
+    let mut questions = PollSchedule::default();
     loop {
         let is_new = entry.state.borrow().table.is_none();
         tokio::time::sleep(if is_new { FIRST_ASK_EVERY } else { ASK_EVERY }).await;
@@ -50,7 +50,7 @@
     Any,
 }
 
-fn to_ask<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr], questions: &mut Questions) -> Vec<(SocketAddr, Role)> {
+fn to_ask<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr], questions: &mut PollSchedule) -> Vec<(SocketAddr, Role)> {
     let state = entry.state.borrow();
     let is_new = state.table.is_none();
     let knows_enough = state.log_answers || state.reading.is_fresh(entry.clock.now_ms());
@@ -58,8 +58,8 @@
     if is_well && !state.boxes.is_empty() {
         let now_ms = entry.clock.now_ms();
         let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.draw(), now_ms);
-        let relied_on = asked.relied_on.map(|addr| (addr, Role::ReliedOn));
-        let any = asked.any.map(|addr| seed_instead(entry, seeds).unwrap_or(addr));
+        let relied_on = asked.source.map(|addr| (addr, Role::ReliedOn));
+        let any = asked.random.map(|addr| seed_instead(entry, seeds).unwrap_or(addr));
         return relied_on.into_iter().chain(any.map(|addr| (addr, Role::Any))).collect();
     }
     let own = entry.identity.record.addr;
@@ -94,9 +94,9 @@
         Err(error) => {
             log::debug!("event=peer_silent addr={} error=\"{error}\"", link.addr());
             let mut state = entry.state.borrow_mut();
-            state.boxes.on_unanswered(link.addr(), asked_ms);
+            state.boxes.on_poll_unanswered(link.addr(), asked_ms);
             if role == Role::ReliedOn {
-                state.reading.pass_over();
+                state.reading.skip_source();
             }
             return;
         }
@@ -113,7 +113,7 @@
         version: state.table.as_ref().map(|table| table.version()),
         name: Some(entry.identity.name.clone()),
         record: Some(entry.identity.record.clone()),
-        from: Some(state.reading.next().unwrap_or_default()),
+        from: Some(state.reading.next_position().unwrap_or_default()),
         boxes: Some((state.boxes.len(), state.boxes.digest((&entry.identity.name, &entry.identity.record)))),
         heard: entry.heard(to),
     }
@@ -145,7 +145,7 @@
         Some(_) => {}
         None if role == Role::Any => {}
         // It cannot be relied on now: another box is asked next time.
-        None => entry.state.borrow_mut().reading.pass_over(),
+        None => entry.state.borrow_mut().reading.skip_source(),
     }
     entry.take_peer_endpoints(told.endpoints);
     for (name, record) in told.boxes {
@@ -170,7 +170,7 @@
     let as_of_ms = asked_ms.saturating_sub(told.age_ms);
     let now_ms = entry.clock.now_ms();
     let mut state = entry.state.borrow_mut();
-    if state.reading.take_told(told.next, as_of_ms, now_ms) {
+    if state.reading.apply_peer_progress(told.next, as_of_ms, now_ms) {
         state.catalog.on_log_read(now_ms);
     }
 }
--- a/crates/ochreyard-direct/src/peers/news.rs
+++ b/crates/ochreyard-direct/src/peers/news.rs
@@ -9,7 +9,7 @@
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use ochreyard_core::direct::{BoxRecord, GroupNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{BoxRecord, GroupUpdate, LimitNews, QuarantineNews};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
     fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>);
 }
 
-impl News for GroupNews {
+impl News for GroupUpdate {
     const PATH: &'static str = "/group";
 
     fn take<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreyard_core::direct::{BoxRecord, EvacuationNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{BoxRecord, EvacuationUpdate, LimitNews, QuarantineNews};
 use serde::{Deserialize, Serialize};
 
 use super::peer_endpoint::PeerEndpoint;
@@ -16,7 +16,7 @@
     pub config: Option<String>,
     /// What is known of evacuations of data centres.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationUpdate>,
     /// Endpoints that changed since the position that the asker named.
     pub endpoints: Vec<PeerEndpoint>,
     /// How far the records of endpoints were read, and how long ago.
--- a/crates/ochreyard-direct/src/peers/tell.rs
+++ b/crates/ochreyard-direct/src/peers/tell.rs
@@ -61,17 +61,17 @@
     let heard = if question.heard.life == entry.identity.life { question.heard } else { Heard::default() };
     PeerState {
         config: newer_config(&state, question.version),
-        evacuations: state.evacuations.news().collect(),
+        evacuations: state.evacuations.updates().collect(),
         endpoints: question.from.map_or_else(Vec::new, |from| changed_since(&state, from)),
         reading: question.from.and_then(|_| reading(&state, entry.clock.now_ms())),
         boxes: boxes(entry, &state, question.boxes, heard.boxes),
-        silent_boxes: state.boxes.silent(entry.clock.now_ms()).take(MOST_SILENT).map(str::to_owned).collect(),
+        silent_boxes: state.boxes.locally_silent(entry.clock.now_ms()).take(MOST_SILENT).map(str::to_owned).collect(),
         knows_all_boxes: state.knows_all_boxes,
         limits: state.pool.limit_news_since(heard.limits, entry.clock.now_ms()),
         quarantine: state.quarantine.news_since(heard.quarantine, entry.clock.now_ms()),
         told: Heard {
             life: entry.identity.life,
-            boxes: state.boxes.learned(),
+            boxes: state.boxes.learned_count(),
             quarantine: state.quarantine.changes(),
             limits: state.pool.limit_changes(),
         },
@@ -94,7 +94,7 @@
 }
 
 fn reading(state: &State, now_ms: u64) -> Option<PeerReading> {
-    let next = state.reading.next()?;
+    let next = state.reading.next_position()?;
     // A lapsed entry that may come back is not told yet: whoever asked must not take what
     // is told for all there is.
     state.catalog.is_settled().then(|| PeerReading { next, age_ms: state.reading.age_ms(now_ms) })
@@ -115,7 +115,7 @@
         return state.boxes.iter().map(owned).chain(own).collect();
     }
     let is_first = heard == 0;
-    let since = if is_first { state.boxes.learned().saturating_sub(RECENT_BOXES) } else { heard };
+    let since = if is_first { state.boxes.learned_count().saturating_sub(RECENT_BOXES) } else { heard };
     let news = state.boxes.learned_since(since);
     let others = state.boxes.sample(SAMPLED_BOXES, identity.life ^ entry.clock.now_ms());
     news.chain(others).map(owned).chain(own).collect()
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -98,13 +98,13 @@
                 answer.flight.on_heard();
                 let data = frame.into_data().unwrap_or_default();
                 let whole = self.splitter.push(&data);
-                if self.splitter.part_bytes() > MAX_EVENT_BYTES {
+                if self.splitter.partial_event_bytes() > MAX_EVENT_BYTES {
                     return Step::Broken { cause: "an event is too long".to_owned(), is_lost: false };
                 }
                 if whole.count == 0 { Step::Part } else { Step::Events(whole.bytes) }
             }
             Ok(Some(Err(error))) => Step::Broken { cause: error.to_string(), is_lost: true },
-            Ok(None) if self.splitter.has_part() => {
+            Ok(None) if self.splitter.has_partial_event() => {
                 Step::Broken { cause: "ended within an event".to_owned(), is_lost: true }
             }
             Ok(None) => {
@@ -134,7 +134,7 @@
     fn drop_answer(&mut self) -> Option<Pick> {
         let answer = self.answer.take()?;
         answer.flight.set(Outcome::Failed);
-        self.splitter.drop_part();
+        self.splitter.discard_partial_event();
         Some(answer.pick.clone())
     }
 
--- a/crates/ochreyard-direct/src/serve.rs
+++ b/crates/ochreyard-direct/src/serve.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use miette::{Context, IntoDiagnostic, Result};
-use ochreyard_core::direct::{BoxRecord, RepeatLimits};
+use ochreyard_core::direct::{BoxRecord, RetryBudgetLimits};
 use ochreyard_process::{Clock, Settings, SuspensionWatch, keep_metrics_up, new_life, start_logging, start_metrics};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -115,8 +115,8 @@
     }
 }
 
-fn repeat_limits(settings: &Settings) -> RepeatLimits {
-    RepeatLimits {
+fn repeat_limits(settings: &Settings) -> RetryBudgetLimits {
+    RetryBudgetLimits {
         ratio: settings.fraction("repeat_ratio"),
         fixed: settings.fraction("repeat_fixed") as u64,
         window_ms: (settings.fraction("repeat_window_s") * MS_PER_S) as u64,
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use ochreyard_core::direct::{GroupNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{GroupUpdate, LimitNews, QuarantineNews};
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -143,8 +143,8 @@
             let query = request.uri().query().unwrap_or_default();
             Response::new(AnswerBody::whole(peers::state_for(entry, query)))
         }
-        (Side::Peers, &Method::POST, GroupNews::PATH) => {
-            status_only(peers::take_news::<D, GroupNews>(entry, request).await)
+        (Side::Peers, &Method::POST, GroupUpdate::PATH) => {
+            status_only(peers::take_news::<D, GroupUpdate>(entry, request).await)
         }
         (Side::Peers, &Method::POST, QuarantineNews::PATH) => {
             status_only(peers::take_news::<D, QuarantineNews>(entry, request).await)
--- a/crates/ochreyard-direct/src/try_end.rs
+++ b/crates/ochreyard-direct/src/try_end.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use ochreyard_core::direct::Met;
+use ochreyard_core::direct::StallHandling;
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
@@ -11,20 +11,20 @@
 pub struct TryEnd<D: Dialect> {
     entry: Rc<Entry<D>>,
     service: String,
-    met: Option<Met>,
+    met: Option<StallHandling>,
     is_served: bool,
 }
 
 impl<D: Dialect> TryEnd<D> {
     /// A try that has met nothing yet; one whose caller has come back was sent back before.
     pub fn new(entry: &Rc<Entry<D>>, service: &str, has_come_back: bool) -> Self {
-        let met = has_come_back.then_some(Met::SentBack);
+        let met = has_come_back.then_some(StallHandling::CallerRetried);
         Self { entry: Rc::clone(entry), service: service.to_owned(), met, is_served: false }
     }
 
     /// It is held.
     pub const fn on_held(&mut self) {
-        self.met = Some(Met::Held);
+        self.met = Some(StallHandling::Held);
     }
 
     /// Its answer was whole.
@@ -37,6 +37,6 @@
     fn drop(&mut self) {
         let Some(met) = self.met else { return };
         let now_ms = self.entry.clock.now_ms();
-        self.entry.state.borrow_mut().queue(&self.service).endings.note(met, self.is_served, now_ms);
+        self.entry.state.borrow_mut().queue(&self.service).stall_outcomes.record(met, self.is_served, now_ms);
     }
 }
--- a/crates/ochreyard-direct/src/waiting_place.rs
+++ b/crates/ochreyard-direct/src/waiting_place.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use ochreyard_core::direct::{Seeker, Ticket};
+use ochreyard_core::direct::{PendingRequest, Ticket};
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
@@ -47,10 +47,10 @@
 
 impl<D: Dialect> WaitingPlace<D> {
     /// Joins the line.
-    pub fn join(entry: &Rc<Entry<D>>, seeker: &Seeker<'_>) -> Self {
+    pub fn join(entry: &Rc<Entry<D>>, seeker: &PendingRequest<'_>) -> Self {
         let since_ms = entry.clock.now_ms();
-        let Seeker { service, arrival, deadline_ms, silent_since_ms, .. } = *seeker;
-        let ticket = entry.state.borrow_mut().queue(service).line.join(arrival.in_aim_until_ms, deadline_ms);
+        let PendingRequest { service, arrival, deadline_ms, silent_since_ms, .. } = *seeker;
+        let ticket = entry.state.borrow_mut().queue(service).wait_queue.join(arrival.on_time_until_ms, deadline_ms);
         let end = Cell::new(WaitEnd::CallerLeft);
         Self {
             entry: Rc::clone(entry),
@@ -81,9 +81,9 @@
         let outcome = self.end.get().as_str();
         let mut state = self.entry.state.borrow_mut();
         let queue = state.queue(&self.service);
-        queue.line.leave(self.ticket);
+        queue.wait_queue.leave(self.ticket);
         if self.end.get() == WaitEnd::CallerLeft {
-            queue.patience.note(now_ms.saturating_sub(self.silent_since_ms));
+            queue.patience.record_abandonment(now_ms.saturating_sub(self.silent_since_ms));
         }
         drop(state);
         meters::on_waited(&self.service, outcome, waited_ms);
--- a/crates/ochreyard-fleet-model/src/fleet.rs
+++ b/crates/ochreyard-fleet-model/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use ochreyard_core::direct::{BoxRecord, Duty, Own, Position};
+use ochreyard_core::direct::{BoxRecord, LocalBox, Position, ReadRole};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -120,16 +120,16 @@
 
     /// Takes away whoever does not only listen, and some more.
     fn lose_first(&mut self) {
-        let busy = self.present().into_iter().filter(|at| self.boxes[*at].duty(self.now_ms) != Duty::Told);
+        let busy = self.present().into_iter().filter(|at| self.boxes[*at].duty(self.now_ms) != ReadRole::Follower);
         let busy: Vec<usize> = busy.collect();
         let following = self.boxes.len() / 20;
         self.gone.extend(busy.into_iter().chain(0..following));
     }
 
     fn first_reader(&self) -> Option<(usize, Position)> {
-        let reads = |at: &usize| self.boxes[*at].duty(self.now_ms) == Duty::Reads;
+        let reads = |at: &usize| self.boxes[*at].duty(self.now_ms) == ReadRole::Reader;
         let at = self.present().into_iter().find(reads)?;
-        Some((at, self.boxes[at].reading.next()?))
+        Some((at, self.boxes[at].reading.next_position()?))
     }
 
     const fn in_trouble(&self) -> bool {
@@ -140,7 +140,7 @@
         match self.trouble {
             _ if !self.in_trouble() => true,
             Trouble::Outage => false,
-            Trouble::TurnsAway => !at.is_multiple_of(3) && self.boxes[at].duty(self.now_ms) != Duty::Reads,
+            Trouble::TurnsAway => !at.is_multiple_of(3) && self.boxes[at].duty(self.now_ms) != ReadRole::Reader,
             Trouble::FalseReader => self.false_reader.is_none_or(|(other, _)| other != at),
             _ => true,
         }
@@ -168,7 +168,7 @@
         let is_fresh = model.reading.is_fresh(now_ms);
         let is_left = at >= SEEDS && now_ms < model.started_ms + model.left_ms;
         let duty = model.duty(now_ms);
-        if is_fresh && duty != Duty::Reads {
+        if is_fresh && duty != ReadRole::Reader {
             self.boxes[at].spread_until_ms = None;
             return;
         }
@@ -178,24 +178,24 @@
     }
 
     /// Whether a box that nobody told enough has left the log to others that read the same.
-    fn has_waited(&mut self, at: usize, duty: Duty, is_fresh: bool) -> bool {
+    fn has_waited(&mut self, at: usize, duty: ReadRole, is_fresh: bool) -> bool {
         let now_ms = self.now_ms;
         let model = &mut self.boxes[at];
         let spread_ms = self.draws.random_range(0..model.reading.pause_ms());
-        if !is_fresh && duty != Duty::Reads && now_ms < *model.spread_until_ms.get_or_insert(now_ms + spread_ms) {
+        if !is_fresh && duty != ReadRole::Reader && now_ms < *model.spread_until_ms.get_or_insert(now_ms + spread_ms) {
             return false;
         }
         model.spread_until_ms = None;
         true
     }
 
-    fn read(&mut self, at: usize, duty: Duty) {
+    fn read(&mut self, at: usize, duty: ReadRole) {
         let now_ms = self.now_ms;
         self.traffic.on_call(CallCause::Reads, duty);
         if !self.log_answers(at) {
             let draw = self.draws.random();
             let model = &mut self.boxes[at];
-            model.next_call_ms = now_ms + model.pauses.after_failure(duty, LEAVING_KNOWN_MS, draw);
+            model.next_call_ms = now_ms + model.pauses.next_delay_ms(duty, LEAVING_KNOWN_MS, draw);
             return;
         }
         let end = self.end_of_log();
@@ -206,7 +206,7 @@
         if now_ms >= WRITTEN_MS {
             model.known_ms.get_or_insert(now_ms);
         }
-        let lists = duty != Duty::Told && now_ms >= model.next_list_ms;
+        let lists = duty != ReadRole::Follower && now_ms >= model.next_list_ms;
         self.note_era(at);
         if lists {
             self.list_boxes(at, duty);
@@ -217,7 +217,7 @@
     fn note_era(&mut self, at: usize) {
         let is_later = |next: &Position| *next >= Position::new(1, 0);
         let model = &mut self.boxes[at];
-        if model.era == 0 && model.reading.next().as_ref().is_some_and(is_later) {
+        if model.era == 0 && model.reading.next_position().as_ref().is_some_and(is_later) {
             model.era = 1;
             model.read_again_ms = Some(self.now_ms + self.draws.random_range(0..READ_AGAIN_MS));
         }
@@ -232,16 +232,16 @@
     }
 
     /// Writes this box into the list of boxes, and reads who else is there.
-    fn list_boxes(&mut self, at: usize, duty: Duty) {
+    fn list_boxes(&mut self, at: usize, duty: ReadRole) {
         self.traffic.on_call(CallCause::Lists, duty);
         let model = &mut self.boxes[at];
-        let every_ms = if duty == Duty::Reads { LIST_EVERY_MS.0 } else { LIST_EVERY_MS.1 };
+        let every_ms = if duty == ReadRole::Reader { LIST_EVERY_MS.0 } else { LIST_EVERY_MS.1 };
         model.next_list_ms = self.now_ms + every_ms;
         if self.written.insert(model.name.clone(), model.record.clone()).is_none() {
             self.traffic.on_call(CallCause::Writes, duty);
         }
         for (name, record) in self.written.iter().filter(|(name, _)| **name != model.name) {
-            model.others.take(name, record.clone());
+            model.others.insert(name, record.clone());
         }
     }
 
@@ -255,12 +255,12 @@
         }
         let ModelBox { name, data_centre, others, reading, questions, started_ms, .. } = &mut self.boxes[at];
         let asks_seeds = now_ms < *started_ms + SEEDS_ASKED_MS;
-        let asked = questions.next(reading, Own { name, data_centre }, others, draw, now_ms);
+        let asked = questions.next(reading, LocalBox { name, data_centre }, others, draw, now_ms);
         let is_fresh = reading.is_fresh(now_ms);
-        if let Some(to) = asked.relied_on {
+        if let Some(to) = asked.source {
             self.ask_one(at, self.by_addr[&to], true);
         }
-        if let Some(to) = asked.any {
+        if let Some(to) = asked.random {
             let to = if asks_seeds && self.draws.random_bool(0.5) { seed } else { self.by_addr[&to] };
             self.ask_one(at, to, !is_fresh);
         }
@@ -274,8 +274,8 @@
         let now_ms = self.now_ms;
         if !self.reaches(at, to) {
             let asker = &mut self.boxes[at];
-            asker.reading.pass_over();
-            asker.others.on_unanswered(addr(to), now_ms);
+            asker.reading.skip_source();
+            asker.others.on_poll_unanswered(addr(to), now_ms);
             return;
         }
         self.note_question(at, to);
@@ -294,7 +294,7 @@
         let (name, record) = (self.boxes[at].name.clone(), self.boxes[at].record.clone());
         self.answered[to] += 1;
         let asked = &mut self.boxes[to];
-        asked.others.take(&name, record);
+        asked.others.insert(&name, record);
         asked.others.on_heard(addr(at), now_ms);
     }
 
@@ -303,16 +303,20 @@
         let now_ms = self.now_ms;
         let is_same = self.boxes[to].digest() == self.boxes[at].digest();
         let listed = if is_same { Vec::new() } else { self.boxes[to].listed() };
-        let silent: Vec<String> = self.boxes[to].others.silent(now_ms).map(str::to_owned).collect();
-        let knows_nothing = self.boxes[at].reading.next().is_none() && self.boxes[to].reading.next().is_some();
+        let silent: Vec<String> = self.boxes[to].others.locally_silent(now_ms).map(str::to_owned).collect();
+        let knows_nothing =
+            self.boxes[at].reading.next_position().is_none() && self.boxes[to].reading.next_position().is_some();
         let boxes = self.boxes.len() as u64;
         self.answered_bytes[to] += self.traffic.on_answer(listed.len() as u64, knows_nothing, boxes);
         let asker = &mut self.boxes[at];
         for (name, record) in listed.into_iter().filter(|(name, _)| *name != asker.name) {
-            asker.others.take(&name, record);
+            asker.others.insert(&name, record);
         }
         asker.others.on_heard(addr(to), now_ms);
-        silent.iter().filter(|name| **name != asker.name).for_each(|name| asker.others.take_silent(name, now_ms));
+        silent
+            .iter()
+            .filter(|name| **name != asker.name)
+            .for_each(|name| asker.others.apply_reported_silence(name, now_ms));
     }
 
     /// Tells how far the box has read, and when.
@@ -321,10 +325,10 @@
         let reading = &self.boxes[to].reading;
         let told = match self.false_reader.filter(|(other, _)| *other == to && self.in_trouble()) {
             Some((_, position)) => Some((position, now_ms)),
-            None => reading.next().map(|next| (next, now_ms.saturating_sub(reading.age_ms(now_ms)))),
+            None => reading.next_position().map(|next| (next, now_ms.saturating_sub(reading.age_ms(now_ms)))),
         };
         if let Some((next, as_of_ms)) = told {
-            self.boxes[at].reading.take_told(next, as_of_ms, now_ms);
+            self.boxes[at].reading.apply_peer_progress(next, as_of_ms, now_ms);
             self.note_era(at);
         }
     }
--- a/crates/ochreyard-fleet-model/src/model_box.rs
+++ b/crates/ochreyard-fleet-model/src/model_box.rs
@@ -1,6 +1,6 @@
 //! One box of the model, with the product's own decisions.
 
-use ochreyard_core::direct::{BoxList, BoxRecord, Duty, Own, Questions, Reading, RetryPauses};
+use ochreyard_core::direct::{BoxList, BoxRecord, LocalBox, LogProgress, LogRetryBackoff, PollSchedule, ReadRole};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
@@ -12,9 +12,9 @@
     pub data_centre: String,
     pub record: BoxRecord,
     pub others: BoxList,
-    pub reading: Reading,
-    pub questions: Questions,
-    pub pauses: RetryPauses,
+    pub reading: LogProgress,
+    pub questions: PollSchedule,
+    pub pauses: LogRetryBackoff,
     pub started_ms: u64,
     /// How long it leaves the log to others after its start.
     pub left_ms: u64,
@@ -40,9 +40,9 @@
             data_centre,
             record,
             others: BoxList::default(),
-            reading: Reading::new(LEAVING_KNOWN_MS),
-            questions: Questions::default(),
-            pauses: RetryPauses::default(),
+            reading: LogProgress::new(LEAVING_KNOWN_MS),
+            questions: PollSchedule::default(),
+            pauses: LogRetryBackoff::default(),
             started_ms: now_ms,
             left_ms: draws.random_range(LEFT_TO_OTHERS_MS),
             next_call_ms: 0,
@@ -55,13 +55,13 @@
     }
 
     /// How the order of boxes sees it.
-    pub fn own(&self) -> Own<'_> {
-        Own { name: &self.name, data_centre: &self.data_centre }
+    pub fn own(&self) -> LocalBox<'_> {
+        LocalBox { name: &self.name, data_centre: &self.data_centre }
     }
 
     /// What it does to know what the log holds.
-    pub fn duty(&self, now_ms: u64) -> Duty {
-        Duty::of(self.own(), &self.others, now_ms)
+    pub fn duty(&self, now_ms: u64) -> ReadRole {
+        ReadRole::of(self.own(), &self.others, now_ms)
     }
 
     /// The digest of all boxes that it knows, itself among them.
--- a/crates/ochreyard-fleet-model/src/traffic.rs
+++ b/crates/ochreyard-fleet-model/src/traffic.rs
@@ -1,6 +1,6 @@
 //! What a fleet calls, asks and sends, by cause.
 
-use ochreyard_core::direct::Duty;
+use ochreyard_core::direct::ReadRole;
 use serde::Serialize;
 
 /// A question or an answer without what it tells, in bytes.
@@ -65,11 +65,11 @@
     }
 
     /// Counts a call to the log.
-    pub const fn on_call(&mut self, cause: CallCause, duty: Duty) {
+    pub const fn on_call(&mut self, cause: CallCause, duty: ReadRole) {
         match (cause, duty) {
-            (CallCause::Reads, Duty::Reads) => self.reads_of_readers += 1,
-            (CallCause::Reads, Duty::Relays) => self.reads_of_relays += 1,
-            (CallCause::Reads, Duty::Told) => self.reads_of_told += 1,
+            (CallCause::Reads, ReadRole::Reader) => self.reads_of_readers += 1,
+            (CallCause::Reads, ReadRole::Relay) => self.reads_of_relays += 1,
+            (CallCause::Reads, ReadRole::Follower) => self.reads_of_told += 1,
             (CallCause::ReadsAgain, _) => self.reads_again += 1,
             (CallCause::Lists, _) => self.lists += 1,
             (CallCause::Writes, _) => self.writes += 1,
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use ochreyard_core::direct::TellerRole;
+use ochreyard_core::direct::ReporterRole;
 use ochreyard_core::group_map::{
     ArmingTimes, Controller, ControllerSettings, Demand, LeaderId, Leadership, MeanSkew, Round, SentOrder, ShiftTimes,
 };
@@ -170,7 +170,7 @@
             self.place_hold().await;
         }
         self.note_pace();
-        self.tell_entries(TellerRole::Leads);
+        self.tell_entries(ReporterRole::Leads);
     }
 
     /// Tells now and then how fast the group's steps are.
@@ -189,6 +189,6 @@
         let ask = Ask { releases: true, ..self.plain_ask() };
         let told = self.members.iter().map(|(_, member)| ask_agent(Rc::clone(&member.link), ask.clone(), 1));
         join_all(told).await;
-        self.tell(TellerRole::StoodDown);
+        self.tell(ReporterRole::StoodDown);
     }
 }
