--- a/crates/ochreyard-lead/src/leader/entry_news.rs
+++ b/crates/ochreyard-lead/src/leader/entry_news.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use ochreyard_core::direct::{GroupNews, RankNews, TellerRole};
+use ochreyard_core::direct::{GroupUpdate, RankUpdate, ReporterRole};
 use ochreyard_core::group_map::RankView;
 use ochreyard_direct::Dialect;
 use ochreyard_rank::Engines;
@@ -12,7 +12,7 @@
 
 impl<D: Dialect, S: Engines> Leader<D, S> {
     /// Tells entries of the group: at once when it stops or goes on, else now and then.
-    pub(super) fn tell_entries(&mut self, role: TellerRole) {
+    pub(super) fn tell_entries(&mut self, role: ReporterRole) {
         let now_ms = self.now_ms();
         self.is_serving = self.progress.note(&self.last_round.views, now_ms);
         if self.teller.is_due(self.is_serving, now_ms) {
@@ -21,27 +21,27 @@
     }
 
     /// Tells entries of the group.
-    pub(super) fn tell(&mut self, teller: TellerRole) {
-        let news = self.news(teller);
+    pub(super) fn tell(&mut self, reporter_role: ReporterRole) {
+        let news = self.news(reporter_role);
         if self.teller.tell(&news) {
-            log::info!("event=group_state group={} serving={} teller={teller:?}", news.group, news.is_serving);
+            log::info!("event=group_state group={} serving={} teller={reporter_role:?}", news.group, news.is_serving);
         }
     }
 
     /// The group as the last round showed it: every rank whose view and endpoint are known.
-    fn news(&self, teller: TellerRole) -> GroupNews {
+    fn news(&self, reporter_role: ReporterRole) -> GroupUpdate {
         let endpoints = self.endpoints_by_addr();
         let rank_news = |(rank, view): (usize, &Option<RankView>)| {
             let view = view.as_ref()?;
             let endpoint = endpoints.get(&self.members.get(rank)?.engine.addr)?.clone();
             let (running, waiting, pace_permille) = (view.running, view.waiting, view.pace_permille);
-            Some(RankNews { endpoint, running, waiting, pace_permille })
+            Some(RankUpdate { endpoint, running, waiting, pace_permille })
         };
         let ranks = self.last_round.views.iter().enumerate().filter_map(rank_news).collect();
-        GroupNews {
+        GroupUpdate {
             service: self.service.clone(),
             group: self.members.group.clone(),
-            teller,
+            reporter_role,
             is_serving: self.is_serving,
             step_ms: self.progress.step_ms(),
             ranks,
--- a/crates/ochreyard-lead/src/leader/observation.rs
+++ b/crates/ochreyard-lead/src/leader/observation.rs
@@ -1,7 +1,7 @@
 //! Watches a group that cannot be led from here, without any grant.
 
 use futures::future::join_all;
-use ochreyard_core::direct::TellerRole;
+use ochreyard_core::direct::ReporterRole;
 use ochreyard_core::group_map::Round;
 use ochreyard_direct::Dialect;
 use ochreyard_rank::Engines;
@@ -30,7 +30,7 @@
         if reached == 0 {
             return None;
         }
-        self.tell_entries(TellerRole::Observes);
+        self.tell_entries(ReporterRole::Observes);
         Some(reached)
     }
 }
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -1,6 +1,6 @@
 //! The map in use, the demand on it, and the proposal of a better map.
 
-use ochreyard_core::direct::EngineFigures;
+use ochreyard_core::direct::EngineSpec;
 use ochreyard_core::group_map::{Demand, GroupPlacement, PlanSettings, Planned, Planner, RankView, StepTimes};
 use ochreyard_direct::Dialect;
 use ochreyard_rank::{Engines, Lists};
@@ -79,7 +79,7 @@
 
     fn step_times(&self) -> StepTimes {
         let state = self.entry.state.borrow();
-        let pause_aim_ms = state.table.as_ref().and_then(|table| table.pause_aim_ms(&self.service));
+        let pause_aim_ms = state.table.as_ref().and_then(|table| table.target_gap_ms(&self.service));
         let step_ms = self.progress.step_ms();
         StepTimes { step_ms, mean_skew: self.mean_skew.mean(), pause_aim_ms, busy_share: self.busy_share() }
     }
@@ -135,7 +135,7 @@
 }
 
 /// Whether a demand rests on enough choices, all of them from after the last shift.
-fn is_known(demand: &Demand, figures: &EngineFigures) -> bool {
+fn is_known(demand: &Demand, figures: &EngineSpec) -> bool {
     let enough = demand.rates().len() as f64 * LEAST_CHOICES_PER_EXPERT;
     demand.rates().len() == figures.sets * figures.experts && demand.weight() >= enough && !demand.is_mixed()
 }
@@ -145,7 +145,7 @@
     (view.pace_permille as f64 / USUAL_PACE_PERMILLE).max(1.0)
 }
 
-fn plan_settings(figures: &EngineFigures, settings: &LeaderSettings, arming_ms: f64) -> PlanSettings {
+fn plan_settings(figures: &EngineSpec, settings: &LeaderSettings, arming_ms: f64) -> PlanSettings {
     PlanSettings {
         places: figures.places,
         spare: figures.spare,
--- a/crates/ochreyard-lead/src/teller.rs
+++ b/crates/ochreyard-lead/src/teller.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use ochreyard_core::direct::{GroupNews, RosterLoads};
+use ochreyard_core::direct::{GroupUpdate, RosterLoads};
 use ochreyard_direct::{Dialect, Entry, tell_all};
 
 /// How often entries are told while nothing changes: a few times within the time
@@ -39,7 +39,7 @@
 
     /// Tells all entries, without waiting for them. Says whether it is news that
     /// the group goes on, or does not.
-    pub fn tell(&mut self, news: &GroupNews) -> bool {
+    pub fn tell(&mut self, news: &GroupUpdate) -> bool {
         self.told_ms = self.entry.clock.now_ms();
         let is_change = self.told_serving.replace(news.is_serving) != Some(news.is_serving);
         self.entry.take_group_news(news);
@@ -52,10 +52,10 @@
     }
 
     /// Whether entries must be told the names of the ranks; they then count as told.
-    fn must_name(&mut self, news: &GroupNews) -> bool {
+    fn must_name(&mut self, news: &GroupUpdate) -> bool {
         let at_ms = self.told_ms;
         let roster = RosterLoads::of(&news.ranks).roster;
-        let boxes = self.entry.state.borrow().boxes.learned();
+        let boxes = self.entry.state.borrow().boxes.learned_count();
         let is_known =
             |named: &Named| named.roster == roster && named.boxes == boxes && at_ms < named.at_ms + NAME_EVERY_MS;
         if self.named.as_ref().is_some_and(is_known) {
