--- a/crates/ochreyard-direct/src/peers/news.rs
+++ b/crates/ochreyard-direct/src/peers/news.rs
@@ -9,7 +9,7 @@
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use ochreyard_core::direct::{BoxRecord, GroupNews, LimitUpdate, QuarantineUpdate};
+use ochreyard_core::direct::{BoxRecord, GroupUpdate, LimitUpdate, QuarantineUpdate};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>);
 }
 
-impl PeerUpdate for GroupNews {
+impl PeerUpdate for GroupUpdate {
     const PATH: &'static str = "/group";
 
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
