--- a/crates/ochreyard-core/tests/stand_load_model/entry_model.rs
+++ b/crates/ochreyard-core/tests/stand_load_model/entry_model.rs
@@ -3,7 +3,8 @@
 use std::net::SocketAddr;
 
 use ochreyard_core::direct::{
-    Arrival, Choice, EndpointChange, EndpointPool, EndpointRecord, Homes, Outcome, Pick, Seeker, ServiceQueue, Ticket,
+    AllowedRegions, Arrival, AttemptOutcome, DispatchDecision, EndpointChange, EndpointPool, EndpointRecord,
+    PendingRequest, Pick, ServiceQueue, Ticket,
 };
 
 use super::{ENDPOINTS, ENTRIES, SERVICE, SLOTS};
@@ -31,9 +32,9 @@
     /// An entry that has served for a while, `serves_ms` a request.
     pub fn new(serves_ms: u64) -> Self {
         let mut pool = EndpointPool::new();
-        (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Known(endpoint_id(at), record(at))));
+        (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Updated(endpoint_id(at), record(at))));
         let mut queue = ServiceQueue::default();
-        queue.time.note(serves_ms);
+        queue.service_time.record(serves_ms);
         Self { pool, queue, waiting: Vec::new(), running: Vec::new() }
     }
 
@@ -42,20 +43,20 @@
     }
 
     pub fn run(&mut self, pick: Pick, until_ms: u64) {
-        self.pool.on_start(&pick);
+        self.pool.on_attempt_start(&pick);
         self.running.push((until_ms, pick));
     }
 
     pub fn end_runs(&mut self, now_ms: u64) {
         for (_, pick) in self.running.extract_if(.., |(until_ms, _)| *until_ms <= now_ms) {
-            self.pool.on_end(&pick, Outcome::Good, now_ms);
+            self.pool.on_attempt_end(&pick, AttemptOutcome::Success, now_ms);
         }
     }
 
-    pub fn choose(&mut self, of: &Try, draw: u64, now_ms: u64) -> Choice {
-        let seeker = Seeker {
+    pub fn choose(&mut self, of: &Try, draw: u64, now_ms: u64) -> DispatchDecision {
+        let seeker = PendingRequest {
             service: SERVICE,
-            homes: &Homes::ANY,
+            allowed_regions: &AllowedRegions::ANY,
             tried: &[],
             arrival: of.arrival,
             deadline_ms: of.deadline_ms,
@@ -64,7 +65,7 @@
             patience_ms: None,
             ticket: of.ticket,
         };
-        self.queue.choose(&self.pool, ENTRIES as u64, &seeker, draw, now_ms)
+        self.queue.decide(&self.pool, ENTRIES as u64, &seeker, draw, now_ms)
     }
 }
 
@@ -80,6 +81,6 @@
         slots: SLOTS,
         is_leaving: false,
         cold_ms: 0,
-        born_ms: 0,
+        started_ms: 0,
     }
 }
--- a/crates/ochreyard-direct/src/job/ending.rs
+++ b/crates/ochreyard-direct/src/job/ending.rs
@@ -69,7 +69,7 @@
             log::info!("event=suspect_refused request={} fingerprint={} {why:?}", self.id(), self.fingerprint());
         }
         if self.is_tried && !self.may_have_run {
-            self.entry.state.borrow_mut().quarantine.end_trial(self.fingerprint());
+            self.entry.state.borrow_mut().quarantine.cancel_trial(self.fingerprint());
         }
         meters::on_answer(&self.service, kind.as_str(), self.elapsed_ms());
         let refusal = Refusal::new(kind);
@@ -81,9 +81,9 @@
     fn held_back_by(&self) -> String {
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
-        let evacuated: Vec<&str> = state.pool.evacuated().collect();
+        let evacuated: Vec<&str> = state.pool.evacuated_data_centres().collect();
         let cold = state.pool.cold_endpoints(&self.service, now_ms);
-        let away = state.pool.endpoints_away(&self.service, &self.homes);
+        let away = state.pool.endpoints_outside_regions(&self.service, &self.homes);
         format!("evacuated=\"{}\" cold={cold} not_at_home={away}", evacuated.join(","))
     }
 
@@ -104,12 +104,12 @@
         let (least, most) = if is_down { COME_BACK_PARTS_DOWN } else { COME_BACK_PARTS };
         let left_ms = self.time_left_ms() as f64;
         let (least_ms, most_ms) = ((left_ms / least) as u64, (left_ms / most) as u64);
-        least_ms + self.entry.draw() % (most_ms - least_ms).max(1)
+        least_ms + self.entry.next_random() % (most_ms - least_ms).max(1)
     }
 
     /// A time after `left_ms`, spread so that callers do not come all at once.
     fn spread_after(&self, left_ms: u64) -> u64 {
-        left_ms + self.entry.draw() % (left_ms / PAUSE_SPREAD).max(LEAST_SPREAD_MS)
+        left_ms + self.entry.next_random() % (left_ms / PAUSE_SPREAD).max(LEAST_SPREAD_MS)
     }
 
     /// A stream was broken off for good.
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use ochreyard_core::direct::{BoxRecord, EvacuationNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{BoxRecord, EvacuationUpdate, LimitUpdate, QuarantineUpdate};
 use serde::{Deserialize, Serialize};
 
 use super::peer_endpoint::PeerEndpoint;
 use super::peer_reading::PeerReading;
-use crate::heard::Heard;
+use crate::sync_cursor::SyncCursor;
 
 /// What a box knows and another one may lack.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
@@ -16,7 +16,7 @@
     pub config: Option<String>,
     /// What is known of evacuations of data centres.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationUpdate>,
     /// Endpoints that changed since the position that the asker named.
     pub endpoints: Vec<PeerEndpoint>,
     /// How far the records of endpoints were read, and how long ago.
@@ -30,15 +30,15 @@
     #[serde(default)]
     pub knows_all_boxes: bool,
     /// What became known of limits of endpoints since it was asked last.
-    #[serde(default, skip_serializing_if = "LimitNews::is_empty")]
-    pub limits: LimitNews,
+    #[serde(default, skip_serializing_if = "LimitUpdate::is_empty")]
+    pub limits: LimitUpdate,
     /// What became known of requests that crash endpoints since it was asked last.
-    #[serde(default, skip_serializing_if = "QuarantineNews::is_empty")]
-    pub quarantine: QuarantineNews,
+    #[serde(default, skip_serializing_if = "QuarantineUpdate::is_empty")]
+    pub quarantine: QuarantineUpdate,
     /// Whether it has told as many boxes all as it can for now: the asker should ask one of `boxes`.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_busy: bool,
     /// How far the asker knows what is told step by step, with this.
     #[serde(default)]
-    pub told: Heard,
+    pub told: SyncCursor,
 }
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use ochreyard_core::direct::TellerRole;
+use ochreyard_core::direct::ReporterRole;
 use ochreyard_core::group_map::{
     ArmingTimes, Demand, LeaderId, Leadership, MapController, MapControllerSettings, MeanSkew, Round, SentOrder,
     ShiftResponseTimes,
@@ -69,7 +69,7 @@
 impl<D: Dialect, S: Engines> Leader<D, S> {
     /// A leader that has asked nobody yet.
     pub fn new(entry: Rc<Entry<D>>, engines: S, service: &str, members: Members, settings: LeaderSettings) -> Self {
-        let me = LeaderId { life: entry.draw() };
+        let me = LeaderId { life: entry.next_random() };
         // Any rank will do; leaders that follow each other take different ones.
         let hold_rank = usize::try_from(me.life % members.size.max(1) as u64).unwrap_or(0);
         Self {
@@ -171,7 +171,7 @@
             self.place_hold().await;
         }
         self.note_pace();
-        self.tell_entries(TellerRole::Leads);
+        self.tell_entries(ReporterRole::Leads);
     }
 
     /// Tells now and then how fast the group's steps are.
@@ -190,6 +190,6 @@
         let ask = Ask { releases: true, ..self.plain_ask() };
         let told = self.members.iter().map(|(_, member)| ask_agent(Rc::clone(&member.link), ask.clone(), 1));
         join_all(told).await;
-        self.tell(TellerRole::StoodDown);
+        self.tell(ReporterRole::StoodDown);
     }
 }
--- a/crates/ochreyard-lead/src/teller.rs
+++ b/crates/ochreyard-lead/src/teller.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use ochreyard_core::direct::{GroupNews, RosterLoads};
-use ochreyard_direct::{Dialect, Entry, tell_all};
+use ochreyard_core::direct::{GroupUpdate, RosterLoads};
+use ochreyard_direct::{Dialect, Entry, broadcast};
 
 /// How often entries are told while nothing changes: a few times within the time
 /// for which they believe it. In milliseconds.
@@ -39,23 +39,23 @@
 
     /// Tells all entries, without waiting for them. Says whether it is news that
     /// the group goes on, or does not.
-    pub fn tell(&mut self, news: &GroupNews) -> bool {
+    pub fn tell(&mut self, news: &GroupUpdate) -> bool {
         self.told_ms = self.entry.clock.now_ms();
         let is_change = self.told_serving.replace(news.is_serving) != Some(news.is_serving);
-        self.entry.take_group_news(news);
+        self.entry.apply_group_update(news);
         if is_change || self.must_name(news) {
-            tell_all(&self.entry, news);
+            broadcast(&self.entry, news);
         } else {
-            tell_all(&self.entry, &news.without_names());
+            broadcast(&self.entry, &news.without_names());
         }
         is_change
     }
 
     /// Whether entries must be told the names of the ranks; they then count as told.
-    fn must_name(&mut self, news: &GroupNews) -> bool {
+    fn must_name(&mut self, news: &GroupUpdate) -> bool {
         let at_ms = self.told_ms;
         let roster = RosterLoads::of(&news.ranks).roster;
-        let boxes = self.entry.state.borrow().boxes.learned();
+        let boxes = self.entry.state.borrow().boxes.learned_count();
         let is_known =
             |named: &Named| named.roster == roster && named.boxes == boxes && at_ms < named.at_ms + NAME_EVERY_MS;
         if self.named.as_ref().is_some_and(is_known) {
