--- a/crates/ochreyard-core/tests/step_times.rs
+++ b/crates/ochreyard-core/tests/step_times.rs
@@ -1,53 +1,53 @@
-//! When shorter steps help callers.
+//! Tests when shorter steps of a group benefit its callers.
 
 use ochreyard_core::direct::{AllowedRegions, Route, RouteKind, RouteTable, WeightedService};
 use ochreyard_core::group_map::StepTimes;
 use rstest::rstest;
 
-/// A small gain, as noise in the demand leaves all the time.
+/// A small improvement, which noise in the demand makes possible at any time.
 const SMALL: (f64, f64) = (1.2, 1.1);
-/// What a shift of demand leaves.
+/// The improvement that is possible after a shift of demand.
 const LARGE: (f64, f64) = (3.5, 1.2);
 
 #[rstest]
-#[case::well_under_the_aim(60, Some(120), SMALL, false)]
-#[case::well_under_the_aim_after_a_shift(60, Some(120), LARGE, true)]
-#[case::near_the_aim(72, Some(120), SMALL, true)]
-#[case::over_the_aim(200, Some(120), SMALL, true)]
-#[case::callers_that_name_no_aim(60, None, SMALL, true)]
-#[case::steps_that_are_not_known(0, Some(120), SMALL, true)]
-fn a_change_is_worth_it_near_the_aim_or_after_a_shift(
+#[case::well_below_the_target(60, Some(120), SMALL, false)]
+#[case::well_below_the_target_after_a_shift(60, Some(120), LARGE, true)]
+#[case::near_the_target(72, Some(120), SMALL, true)]
+#[case::above_the_target(200, Some(120), SMALL, true)]
+#[case::no_target(60, None, SMALL, true)]
+#[case::unknown_step_time(0, Some(120), SMALL, true)]
+fn a_change_is_worthwhile_near_the_target_or_after_a_shift(
     #[case] step_ms: u64,
     #[case] target_gap_ms: Option<u64>,
     #[case] skew: (f64, f64),
-    #[case] wanted: bool,
+    #[case] expected: bool,
 ) {
     let idle = StepTimes { step_ms, mean_skew: Some(1.2), target_gap_ms, utilization: 0.0 };
-    assert_eq!(idle.would_benefit(skew), wanted);
+    assert_eq!(idle.would_benefit(skew), expected);
 }
 
-/// What follows the demand of a moment: many requests of a few callers.
+/// The skew under a momentary demand, such as many requests of a few callers, and after a change for it.
 const DRIFTED: (f64, f64) = (1.65, 1.15);
 
 #[rstest]
-#[case::steps_that_stay_far_from_the_aim(50, Some(1.4), 0.1, false)]
+#[case::steps_stay_far_below_the_target(50, Some(1.4), 0.1, false)]
 #[case::the_same_in_a_busy_group(50, Some(1.4), 0.5, true)]
-#[case::steps_that_are_about_to_come_near_the_aim(75, Some(1.3), 0.1, true)]
-#[case::a_skew_that_is_not_known_yet(50, None, 0.1, true)]
-#[case::steps_near_the_aim(95, Some(1.4), 0.1, true)]
-fn a_map_does_not_follow_demand_that_harms_nobody(
+#[case::steps_are_about_to_approach_the_target(75, Some(1.3), 0.1, true)]
+#[case::the_skew_is_not_known_yet(50, None, 0.1, true)]
+#[case::steps_are_near_the_target(95, Some(1.4), 0.1, true)]
+fn a_map_does_not_follow_demand_that_makes_no_stream_late(
     #[case] step_ms: u64,
     #[case] mean_skew: Option<f64>,
     #[case] utilization: f64,
-    #[case] wanted: bool,
+    #[case] expected: bool,
 ) {
     let times = StepTimes { step_ms, mean_skew, target_gap_ms: Some(150), utilization };
-    assert_eq!(times.would_benefit(DRIFTED), wanted);
+    assert_eq!(times.would_benefit(DRIFTED), expected);
 }
 
-/// A group that has just begun to work: its steps are short since hardly anything runs.
+/// A group that has just started: its steps are short since few requests are running.
 #[test]
-fn a_high_skew_is_answered_before_the_load_comes() {
+fn a_high_skew_is_corrected_before_the_load_arrives() {
     let times = StepTimes { step_ms: 20, mean_skew: Some(3.7), target_gap_ms: Some(150), utilization: 0.02 };
     assert!(times.would_benefit((3.7, 1.6)));
 }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_shortest_pause_aim_of_a_services_routes_counts() {
+fn the_smallest_gap_target_of_a_services_routes_applies() {
     let table = RouteTable::new(1)
         .with_route(route("/a/", &["x"], Some(150)))
         .with_route(route("/b/", &["x", "y"], Some(120)))
