--- a/crates/ochreyard-core/src/group_map/controller/advance.rs
+++ b/crates/ochreyard-core/src/group_map/controller/advance.rs
@@ -18,13 +18,13 @@
             ChangePhase::Idle => self.look_for_left_holds(views, now_ms),
             ChangePhase::Preparing { version } => self.advance_preparing(views, version, now_ms),
             ChangePhase::Holding { version, step, rank } => {
-                self.advance_holding(views, Hold { version, step, rank }, now_ms)
+                self.advance_holding(views, Hold { version, step, rank }, now_ms);
             }
             ChangePhase::Arming { version, step } => self.advance_arming(views, version, step, now_ms),
             ChangePhase::Backing { step, rank } => self.advance_backing(views, step, rank, now_ms),
             ChangePhase::Undoing if self.is_undone(views) => self.enter(ChangePhase::Releasing, now_ms),
             ChangePhase::Releasing if views.iter().all(|view| view.held.is_none()) => {
-                self.enter(ChangePhase::Idle, now_ms)
+                self.enter(ChangePhase::Idle, now_ms);
             }
             ChangePhase::Undoing | ChangePhase::Releasing => {}
         }
--- a/crates/ochreyard-core/tests/stand_load_model/mod.rs
+++ b/crates/ochreyard-core/tests/stand_load_model/mod.rs
@@ -139,7 +139,7 @@
         for mut of in std::mem::take(&mut self.entries[entry].waiting) {
             match self.entries[entry].choose(&of, hash::mix(of.caller as u64 ^ now_ms), now_ms) {
                 DispatchDecision::Wait(_) if now_ms >= of.came_ms + self.callers.patience_ms => {
-                    self.leave(entry, &of, now_ms)
+                    self.leave(entry, &of, now_ms);
                 }
                 DispatchDecision::Wait(_) => {
                     let line = &mut self.entries[entry].queue.wait_queue;
