--- a/crates/ochreyard-core/src/group_map/controller.rs
+++ b/crates/ochreyard-core/src/group_map/controller.rs
@@ -244,9 +244,9 @@
 
     fn on_incomplete_round(&mut self, views: &[Option<RankView>], now_ms: u64) {
         let waited_ms = self.waited_ms(now_ms);
-        let is_broken = views.iter().flatten().any(|view| !view.is_open);
+        let is_closed = views.iter().flatten().any(|view| !view.is_open);
         match self.phase {
-            ChangePhase::Preparing { .. } if waited_ms > self.prepare_timeout_ms || is_broken => self.give_up(now_ms),
+            ChangePhase::Preparing { .. } if waited_ms > self.prepare_timeout_ms || is_closed => self.give_up(now_ms),
             ChangePhase::Holding { .. } if waited_ms > self.settings.hold_timeout_ms => self.undo(now_ms),
             ChangePhase::Arming { .. } if waited_ms > self.settings.arm_timeout_ms => self.undo(now_ms),
             _ => {}
--- a/crates/ochreyard-core/src/group_map/controller/advance.rs
+++ b/crates/ochreyard-core/src/group_map/controller/advance.rs
@@ -12,7 +12,7 @@
 }
 
 impl MapController {
-    /// Enters the next phase if the views show that the present one has ended.
+    /// Enters the next phase if the views show that the current one has ended.
     pub(super) fn advance(&mut self, views: &[&RankView], now_ms: u64) {
         match self.phase.clone() {
             ChangePhase::Idle => self.detect_leftover_hold(views, now_ms),
@@ -106,8 +106,9 @@
         self.hold_allowed_from_step = self.hold_allowed_from_step.max(Some(held));
         let highest = self.highest_version;
         self.unfenced = vec![Some(highest); views.len()];
-        let own_rank = Some(self.hold_rank).filter(|rank| views.get(*rank).is_some_and(|view| view.held.is_none()));
-        match own_rank.or_else(|| views.iter().position(|view| view.held.is_none())) {
+        let preferred_rank =
+            Some(self.hold_rank).filter(|rank| views.get(*rank).is_some_and(|view| view.held.is_none()));
+        match preferred_rank.or_else(|| views.iter().position(|view| view.held.is_none())) {
             Some(rank) => self.enter(ChangePhase::Backing { step, rank }, now_ms),
             None => self.undo(now_ms),
         }
--- a/crates/ochreyard-core/src/group_map/controller/orders.rs
+++ b/crates/ochreyard-core/src/group_map/controller/orders.rs
@@ -4,7 +4,7 @@
 use crate::group_map::{ArmedMap, Order, RankView, SentOrder};
 
 impl MapController {
-    /// Returns the orders that are due in the present phase, with the rank of each.
+    /// Returns the orders that are due in the current phase, with the rank of each.
     pub(super) fn orders(&mut self, views: &[&RankView], now_ms: u64) -> Vec<(usize, SentOrder)> {
         if now_ms < self.next_send_ms {
             return Vec::new();
@@ -15,11 +15,11 @@
         }
         let has_resend_pause = matches!(self.phase, ChangePhase::Preparing { .. } | ChangePhase::Undoing);
         self.next_send_ms = if has_resend_pause { now_ms + self.settings.resend_ms } else { now_ms };
-        let sent = |(rank, order): (usize, Order)| {
+        let to_sent_order = |(rank, order): (usize, Order)| {
             let view = views[rank];
             (rank, SentOrder { order, epoch: view.epoch, expected_sequence: view.sequence })
         };
-        let sent: Vec<(usize, SentOrder)> = orders.into_iter().map(sent).collect();
+        let sent: Vec<(usize, SentOrder)> = orders.into_iter().map(to_sent_order).collect();
         for (rank, sent) in &sent {
             if let Order::Arm { version, .. } = sent.order {
                 self.unfenced[*rank] = Some(version);
@@ -49,8 +49,8 @@
                 ranks.filter(needs_order).map(|rank| (rank, Order::Arm { version, step })).collect()
             }
             ChangePhase::Releasing => {
-                let held = |rank: usize| views[rank].held.map(|step| (rank, Order::Go { step }));
-                ranks.filter_map(held).collect()
+                let release_order = |rank: usize| views[rank].held.map(|step| (rank, Order::Go { step }));
+                ranks.filter_map(release_order).collect()
             }
             ChangePhase::Undoing => self.undoing_orders(views),
         }
--- a/crates/ochreyard-core/src/group_map/planner.rs
+++ b/crates/ochreyard-core/src/group_map/planner.rs
@@ -87,7 +87,7 @@
         let mut steps: Vec<SearchStep> = Vec::new();
         let mut best_point: Option<StoppingPoint> = None;
         for _ in 0..MAX_STEPS * searches.len() {
-            let Some(step) = self.make_best_step(&mut searches, &mut copies) else { break };
+            let Some(step) = self.apply_best_step(&mut searches, &mut copies) else { break };
             steps.push(step);
             let skew = (skew_before, skew_of(&searches, mean));
             let max_copies_per_rank = copies.iter().copied().max().unwrap_or(0);
@@ -112,7 +112,7 @@
     }
 
     /// Applies the step with the largest gain per copy over all sets; `None` if no step is left.
-    fn make_best_step(&self, searches: &mut [SetSearch], copies: &mut [usize]) -> Option<SearchStep> {
+    fn apply_best_step(&self, searches: &mut [SetSearch], copies: &mut [usize]) -> Option<SearchStep> {
         let max_copies = self.max_copies();
         let min_gains: Vec<f64> = searches.iter().map(|search| MIN_GAIN * search.mean).collect();
         let candidates = searches.iter_mut().enumerate();
