--- a/crates/ochreyard-core/tests/rebalance.rs
+++ b/crates/ochreyard-core/tests/rebalance.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_permanently_hot_expert_is_spread_once() {
+fn a_permanently_hot_expert_is_spread_and_then_nothing_moves() {
     let mut counts = vec![10.0; EXPERTS];
     counts[3] = 80.0;
     let mut policy = BudgetedRebalancer::new(RebalanceSettings::weigh_skew(), EXPERTS);
