--- a/crates/ochreyard-core/src/admission.rs
+++ b/crates/ochreyard-core/src/admission.rs
@@ -1,8 +1,8 @@
-//! Admission at the agent: the one place, next to the work, where "not run",
-//! "at most once", leaving, fair share and permission become true.
+//! Admission control at the agent.
 //!
-//! The agent is the only process that calls its endpoint. Each attempt that an
-//! entry box offers passes through [`Admission`], which answers with actions.
+//! The agent is the only process that calls its endpoint, so it is the one that enforces permissions, fair
+//! sharing, graceful shutdown, at-most-once execution and the promise that a request did not run. Each attempt
+//! that an entry offers passes through [`Admission`], which returns the actions to take.
 
 mod attempt_log;
 mod fair_queue;
@@ -24,28 +24,28 @@
 pub use offer::{IdempotencyKey, Offer, Outcome};
 pub use settings::AdmissionSettings;
 
-/// What the shell is to do after an event.
+/// What the caller of [`Admission`] must do after an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdmissionAction {
     /// Call the endpoint for this attempt now.
     Start(AttemptId),
-    /// Give this final answer.
+    /// Answer the attempt with this refusal, which is final.
     Refuse {
-        /// The attempt.
+        /// The refused attempt.
         attempt: AttemptId,
-        /// The answer.
+        /// The reason and the retry advice for the entry.
         refusal: Refusal,
     },
-    /// Give the kept answer of an earlier run with the same key.
+    /// Answer the attempt with the stored answer of an earlier run with the same idempotency key.
     Replay {
-        /// The attempt.
+        /// The attempt to answer.
         attempt: AttemptId,
-        /// The answer.
+        /// The stored answer.
         answer: Arc<StoredAnswer>,
     },
-    /// Stop the call of this attempt at the endpoint.
+    /// Cancel the call of this attempt at the endpoint.
     Stop(AttemptId),
-    /// This very attempt has arrived before: drop the message, claim nothing.
+    /// An offer with the same attempt identifier has arrived before: drop this one and claim nothing about the run.
     Duplicate(AttemptId),
 }
 
@@ -55,7 +55,7 @@
     started_ms: u64,
 }
 
-/// The admission of one endpoint.
+/// Admission control of one endpoint.
 #[derive(Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -71,7 +71,7 @@
 }
 
 impl Admission {
-    /// The admission of an agent that has just started and remembers nothing.
+    /// Creates the admission control of an agent that has just started and knows of no earlier requests.
     #[must_use]
     pub fn new(settings: AdmissionSettings, incarnation: Incarnation, now_ms: u64) -> Self {
         let keys = KeyStore::new(&settings, now_ms);
@@ -90,13 +90,13 @@
         }
     }
 
-    /// The life of the process that this belongs to.
+    /// The incarnation of the agent process.
     #[must_use]
     pub const fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the configuration in force, or 0 if there is none.
     #[must_use]
     pub fn config_version(&self) -> u64 {
         self.config.as_ref().map_or(0, |config| config.version())
@@ -108,61 +108,61 @@
         self.config.as_ref()
     }
 
-    /// Whether new work is refused because the endpoint is leaving.
+    /// Returns whether new work is refused because the endpoint is leaving.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Requests that run now.
+    /// The number of running requests.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait now.
+    /// The number of queued requests.
     #[must_use]
     pub const fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Keys that are remembered.
+    /// The number of idempotency keys in the key store.
     #[must_use]
     pub fn kept_keys(&self) -> usize {
         self.keys.len()
     }
 
-    /// Mean time of a run, in milliseconds.
+    /// Moving average of the run time, in milliseconds; 0 before the first run has ended.
     #[must_use]
     pub const fn mean_run_ms(&self) -> u64 {
         self.mean_run_ms
     }
 
-    /// Requests that may run at the same time.
+    /// The number of requests that may run at the same time.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.own_spec().map_or(self.settings.slots, |spec| spec.slots)
     }
 
-    /// Whether an entry has shown, after this process started, that the
-    /// configuration is the log's newest.
+    /// Returns whether an entry has confirmed, after this process started, that the configuration here was the
+    /// newest in the log.
     #[must_use]
     pub const fn is_tail_verified(&self) -> bool {
         self.tail_verified
     }
 
-    /// Notes that an entry read the log to its end after this process had
-    /// started, and that `version` was in force there.
+    /// Records that an entry read the log to its end after this process had started, and that `version` was in
+    /// force at that point.
     pub fn verify_tail(&mut self, version: u64, now_ms: u64) {
         if self.tail_verified || self.config_version() < version {
             return;
         }
         self.tail_verified = true;
-        // Until now an old home may have run keys that this agent knows nothing of.
+        // Until now the previous home may have run keys that this agent has no record of.
         self.keys.set_complete_since(now_ms);
     }
 
-    /// Puts a configuration in force, unless it is older than the present one.
+    /// Puts `config` in force if it is newer than the current configuration.
     pub fn configure(&mut self, config: Arc<Configuration>, now_ms: u64) -> Vec<AdmissionAction> {
         if config.version() <= self.config_version() {
             return Vec::new();
@@ -173,23 +173,23 @@
             self.keys.record_previous_homes(old, service.filter(|_| !unchanged), now_ms);
         }
         self.config = Some(config);
-        let mut actions = self.refuse_waiting_without_permission();
+        let mut actions = self.refuse_queued_without_permission();
         actions.extend(self.fill_slots(now_ms));
         actions
     }
 
-    /// Takes an offer from an entry.
+    /// Handles an attempt that an entry offers.
     pub fn offer(&mut self, offer: Offer, now_ms: u64) -> Vec<AdmissionAction> {
         let attempt = offer.attempt;
         if offer.agent_incarnation != self.incarnation {
-            // It was meant for an earlier life, which may have run it.
+            // The offer was addressed to an earlier incarnation, which may have run it.
             let refusal = Refusal::new(ErrorKind::Stale).with_run(RunStatus::MayHaveRun);
             return vec![AdmissionAction::Refuse { attempt, refusal }];
         }
         if !self.attempts.is_new(attempt) {
             return vec![AdmissionAction::Duplicate(attempt)];
         }
-        match self.judge(&offer, now_ms) {
+        match self.check_offer(&offer, now_ms) {
             Ok(None) => self.admit(offer, now_ms),
             Ok(Some(answer)) => {
                 self.attempts.set(attempt, AttemptState::Closed);
@@ -199,30 +199,30 @@
         }
     }
 
-    /// Ends an attempt that was started.
+    /// Records the end of an attempt that was started.
     pub fn finish(&mut self, attempt: AttemptId, outcome: Outcome, now_ms: u64) -> Vec<AdmissionAction> {
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
         };
         self.attempts.set(attempt, AttemptState::Closed);
-        let took_ms = now_ms.saturating_sub(running.started_ms);
-        self.mean_run_ms = if self.mean_run_ms == 0 { took_ms } else { (self.mean_run_ms * 7 + took_ms) / 8 };
+        let run_ms = now_ms.saturating_sub(running.started_ms);
+        self.mean_run_ms = if self.mean_run_ms == 0 { run_ms } else { (self.mean_run_ms * 7 + run_ms) / 8 };
         self.queue.settle_cost(&running.offer.workspace, running.offer.cost, outcome.cost);
         if let Some(key) = running.offer.key_id() {
-            let outcome = self.keepable(&running.offer, outcome);
+            let outcome = self.storable_outcome(&running.offer, outcome);
             self.keys.finish_run(&key, outcome, now_ms);
         }
         self.fill_slots(now_ms)
     }
 
-    /// The caller has gone away.
+    /// Handles the disconnection of the caller of an attempt.
     pub fn cancel(&mut self, attempt: AttemptId, now_ms: u64) -> Vec<AdmissionAction> {
-        if let Some(waiting) = self.queue.remove(attempt) {
-            self.give_back_key(&waiting.offer);
+        if let Some(queued) = self.queue.remove(attempt) {
+            self.release_key(&queued.offer);
             return vec![self.refuse(attempt, Refusal::new(ErrorKind::Revoked))];
         }
-        let stoppable = self.running.get(&attempt).is_some_and(|running| running.offer.repeatable);
-        if stoppable {
+        let is_cancellable = self.running.get(&attempt).is_some_and(|running| running.offer.repeatable);
+        if is_cancellable {
             return vec![AdmissionAction::Stop(attempt)];
         }
         if !self.running.contains_key(&attempt) && self.attempts.is_new(attempt) {
@@ -231,50 +231,56 @@
         self.fill_slots(now_ms)
     }
 
-    /// An entry has lost sight of an attempt and asks that it shall not start.
-    pub fn revoke(&mut self, attempt: AttemptId, to: Incarnation) -> (RevokeAnswer, Vec<AdmissionAction>) {
-        if to != self.incarnation {
+    /// Prevents an attempt from starting, at the request of an entry that has lost track of it.
+    pub fn revoke(
+        &mut self,
+        attempt: AttemptId,
+        agent_incarnation: Incarnation,
+    ) -> (RevokeAnswer, Vec<AdmissionAction>) {
+        if agent_incarnation != self.incarnation {
             return (RevokeAnswer::Unknown, Vec::new());
         }
         let mut actions = Vec::new();
-        if let Some(waiting) = self.queue.remove(attempt) {
-            self.give_back_key(&waiting.offer);
+        if let Some(queued) = self.queue.remove(attempt) {
+            self.release_key(&queued.offer);
             actions.push(self.refuse(attempt, Refusal::new(ErrorKind::Revoked)));
         }
         (self.attempts.revoke(attempt), actions)
     }
 
-    /// From now on no new work: what waits is given back as not run.
+    /// Refuses new work from now on, and refuses the queued offers as not run.
     pub fn leave(&mut self) -> Vec<AdmissionAction> {
         self.leaving = true;
-        let waiting = self.queue.take_all();
-        waiting.into_iter().map(|w| self.give_back(&w.offer, Refusal::new(ErrorKind::Leaving))).collect()
+        let removed = self.queue.take_all();
+        removed.into_iter().map(|queued| self.refuse_queued(&queued.offer, Refusal::new(ErrorKind::Leaving))).collect()
     }
 
-    /// The endpoint takes new work again, for example after a change of role.
+    /// Accepts new work again, for example after a change of role.
     pub fn cancel_leaving(&mut self) {
         self.leaving = false;
     }
 
-    /// Time passes: what waits beyond its deadline gets its final answer.
+    /// Removes expired keys and refuses queued offers whose deadline has passed.
     pub fn tick(&mut self, now_ms: u64) -> Vec<AdmissionAction> {
         self.keys.expire(now_ms);
-        let late = self.queue.take_expired(now_ms);
-        let refusal =
-            |me: &Self| Refusal::new(ErrorKind::DeadlineBeforeStart).with_retry_after_ms(me.predicted_queue_wait_ms());
-        late.into_iter()
-            .map(|w| {
+        let expired = self.queue.take_expired(now_ms);
+        let refusal = |admission: &Self| {
+            Refusal::new(ErrorKind::DeadlineBeforeStart).with_retry_after_ms(admission.predicted_queue_wait_ms())
+        };
+        expired
+            .into_iter()
+            .map(|queued| {
                 let refusal = refusal(self);
-                self.give_back(&w.offer, refusal)
+                self.refuse_queued(&queued.offer, refusal)
             })
             .collect()
     }
 
-    /// Predicted time until what waits has started, in milliseconds.
+    /// Predicted time until a newly queued offer starts, in milliseconds; at least the minimum retry advice.
     #[must_use]
     pub fn predicted_queue_wait_ms(&self) -> u64 {
-        let ahead = self.queue.len() as u64 + 1;
-        let per_slot = ahead.div_ceil(u64::from(self.slots().max(1)));
+        let queued = self.queue.len() as u64 + 1;
+        let per_slot = queued.div_ceil(u64::from(self.slots().max(1)));
         (per_slot * self.mean_run_ms).max(self.settings.min_retry_after_ms)
     }
 
@@ -288,7 +294,7 @@
         self.config.as_ref()?.workspace(&offer.workspace)
     }
 
-    /// Permission by the agent's own configuration, whatever the entry thought.
+    /// Checks the permission by the agent's own configuration; the entry's may be older.
     fn check_permission(&self, offer: &Offer) -> Result<(), Refusal> {
         let Some(own) = self.own_spec().filter(|own| own.service == offer.service) else {
             return Err(
@@ -301,38 +307,39 @@
         if permitted { Ok(()) } else { Err(Refusal::new(ErrorKind::NotPermitted)) }
     }
 
-    fn may_keep(&self, offer: &Offer) -> bool {
+    fn may_store_data(&self, offer: &Offer) -> bool {
         self.workspace_of(offer).is_some_and(|ws| ws.keep_in.contains(&self.settings.data_centre))
     }
 
-    /// Says whether the offer may run; an answer that was kept is returned in its place.
-    fn judge(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
+    /// Checks whether the offer may run. Returns the stored answer if its key has run already.
+    fn check_offer(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
         // Before the key has been looked up, nothing is known about its earlier runs.
-        let unproved =
+        let unproven =
             |refusal: Refusal| if offer.key.is_some() { refusal.with_run(RunStatus::MayHaveRun) } else { refusal };
-        self.check_permission(offer).map_err(unproved)?;
-        if let Some(answer) = self.judge_key(offer, now_ms)? {
+        self.check_permission(offer).map_err(unproven)?;
+        if let Some(answer) = self.check_key(offer, now_ms)? {
             return Ok(Some(answer));
         }
         if self.leaving {
             return Err(Refusal::new(ErrorKind::Leaving));
         }
-        self.check_room(offer)?;
+        self.check_capacity(offer)?;
         Ok(None)
     }
 
-    fn judge_key(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
+    fn check_key(&mut self, offer: &Offer, now_ms: u64) -> Result<Option<Arc<StoredAnswer>>, Refusal> {
         let (Some(key), Some(id)) = (&offer.key, offer.key_id()) else {
             return Ok(None);
         };
-        let unproved = |kind: ErrorKind| Refusal::new(kind).with_run(RunStatus::MayHaveRun);
+        let unproven = |kind: ErrorKind| Refusal::new(kind).with_run(RunStatus::MayHaveRun);
         let Some(config) = self.config.as_ref().filter(|_| self.tail_verified) else {
-            return Err(unproved(ErrorKind::Stale).with_detail("no entry has shown this agent the end of the log yet"));
+            return Err(unproven(ErrorKind::Stale)
+                .with_detail("no entry has confirmed yet that the agent's configuration is the newest in the log"));
         };
         let hash = key_hash(offer.workspace.as_str(), offer.service.as_str(), &key.key);
         let home = config.home_view(&offer.workspace, &offer.service).home_of(hash);
         if home != KeyHome::At(self.settings.endpoint.clone()) {
-            return Err(unproved(ErrorKind::KeyHomeMoving));
+            return Err(unproven(ErrorKind::KeyHomeMoving));
         }
         match self.keys.look_up(&id, key, hash, now_ms) {
             KeyLookup::New => Ok(None),
@@ -341,19 +348,23 @@
         }
     }
 
-    fn check_room(&self, offer: &Offer) -> Result<(), Refusal> {
-        let free = (self.running.len() as u64) < u64::from(self.slots());
-        if free && self.queue.is_empty() {
+    fn check_capacity(&self, offer: &Offer) -> Result<(), Refusal> {
+        let has_free_slot = (self.running.len() as u64) < u64::from(self.slots());
+        if has_free_slot && self.queue.is_empty() {
             return Ok(());
         }
         let overloaded = Refusal::new(ErrorKind::Overloaded).with_retry_after_ms(self.predicted_queue_wait_ms());
-        if !self.may_keep(offer) {
-            return Err(overloaded.with_detail("the workspace's data may not wait in this data centre"));
+        if !self.may_store_data(offer) {
+            return Err(overloaded.with_detail(
+                "the workspace's data may not be stored in this data centre, so the request cannot be queued",
+            ));
         }
         if offer.remaining_ms <= self.predicted_queue_wait_ms() && self.mean_run_ms > 0 {
-            return Err(overloaded.with_detail("it would wait past its deadline"));
+            return Err(overloaded.with_detail("the predicted wait exceeds the request's deadline"));
         }
-        self.queue.check_room(&offer.workspace).map_err(|kind| overloaded_as(kind, self.predicted_queue_wait_ms()))
+        self.queue
+            .check_capacity(&offer.workspace)
+            .map_err(|kind| capacity_refusal(kind, self.predicted_queue_wait_ms()))
     }
 
     fn admit(&mut self, offer: Offer, now_ms: u64) -> Vec<AdmissionAction> {
@@ -369,49 +380,52 @@
     fn fill_slots(&mut self, now_ms: u64) -> Vec<AdmissionAction> {
         let mut actions = Vec::new();
         while (self.running.len() as u64) < u64::from(self.slots()) {
-            let Some(waiting) = self.queue.pop() else { break };
-            let attempt = waiting.offer.attempt;
+            let Some(queued) = self.queue.pop() else { break };
+            let attempt = queued.offer.attempt;
             self.attempts.set(attempt, AttemptState::Started);
-            self.running.insert(attempt, Running { offer: waiting.offer, started_ms: now_ms });
+            self.running.insert(attempt, Running { offer: queued.offer, started_ms: now_ms });
             actions.push(AdmissionAction::Start(attempt));
         }
         actions
     }
 
-    fn refuse_waiting_without_permission(&mut self) -> Vec<AdmissionAction> {
-        let (kept, lost): (Vec<QueuedOffer>, Vec<QueuedOffer>) = self
+    fn refuse_queued_without_permission(&mut self) -> Vec<AdmissionAction> {
+        let (permitted, not_permitted): (Vec<QueuedOffer>, Vec<QueuedOffer>) = self
             .queue
             .take_all()
             .into_iter()
-            .partition(|w| self.check_permission(&w.offer).is_ok() && self.may_keep(&w.offer));
-        kept.into_iter().for_each(|w| self.queue.push(w));
-        lost.into_iter().map(|w| self.give_back(&w.offer, Refusal::new(ErrorKind::NotPermitted))).collect()
+            .partition(|queued| self.check_permission(&queued.offer).is_ok() && self.may_store_data(&queued.offer));
+        permitted.into_iter().for_each(|queued| self.queue.push(queued));
+        not_permitted
+            .into_iter()
+            .map(|queued| self.refuse_queued(&queued.offer, Refusal::new(ErrorKind::NotPermitted)))
+            .collect()
     }
 
-    fn give_back(&mut self, offer: &Offer, refusal: Refusal) -> AdmissionAction {
-        self.give_back_key(offer);
+    fn refuse_queued(&mut self, offer: &Offer, refusal: Refusal) -> AdmissionAction {
+        self.release_key(offer);
         self.refuse(offer.attempt, refusal)
     }
 
-    fn give_back_key(&mut self, offer: &Offer) {
+    fn release_key(&mut self, offer: &Offer) {
         if let Some(id) = offer.key_id() {
             self.keys.release(&id);
         }
     }
 
-    /// Refuses as not run: the tombstone comes first, so that a late arrival is refused too.
+    /// Refuses an attempt as not run. The tombstone is set first, so that a later duplicate does not start.
     fn refuse(&mut self, attempt: AttemptId, refusal: Refusal) -> AdmissionAction {
         self.attempts.set(attempt, AttemptState::Tombstone);
         AdmissionAction::Refuse { attempt, refusal }
     }
 
-    /// An answer rests here only where the workspace's data may.
-    fn keepable(&self, offer: &Offer, outcome: Outcome) -> KeyOutcome {
-        let answer = outcome.answer.filter(|_| self.may_keep(offer));
+    /// Drops the answer from the outcome unless the workspace's data may be stored in this data centre.
+    fn storable_outcome(&self, offer: &Offer, outcome: Outcome) -> KeyOutcome {
+        let answer = outcome.answer.filter(|_| self.may_store_data(offer));
         KeyOutcome { run: outcome.run, answer }
     }
 }
 
-fn overloaded_as(kind: ErrorKind, retry_after_ms: u64) -> Refusal {
+fn capacity_refusal(kind: ErrorKind, retry_after_ms: u64) -> Refusal {
     Refusal::new(kind).with_retry_after_ms(retry_after_ms)
 }
--- a/crates/ochreyard-core/src/admission/attempt_log.rs
+++ b/crates/ochreyard-core/src/admission/attempt_log.rs
@@ -1,5 +1,5 @@
-//! Which attempts have arrived, so that none starts twice and none starts
-//! after it was said not to.
+//! A record of the attempts that have arrived, so that none starts twice and none starts after the agent has
+//! promised that it will not.
 
 use std::collections::BTreeMap;
 
@@ -7,52 +7,53 @@
 
 use crate::ids::{AttemptId, Incarnation};
 
-/// How many request numbers of one entry are remembered. An attempt that lies
-/// further back than this is never started.
+/// Number of the newest requests of one entry that are recorded. An attempt of an older request is never started.
 const WINDOW_REQUESTS: u64 = 4096;
 
-/// How many lives of entries are remembered.
+/// Number of entry incarnations that are recorded.
 const MAX_ENTRIES: usize = 256;
 
-/// What has become of an attempt.
+/// The state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It waits.
+    /// It is queued.
     Waiting,
     /// It was handed to the endpoint.
     Started,
-    /// It ended, or was answered from what was kept.
+    /// It ended, or was answered with a stored answer.
     Closed,
     /// It was refused and must never start.
     Tombstone,
 }
 
-/// What an agent says when asked that an attempt shall not start.
+/// The agent's answer to an entry that asks it not to start an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevokeAnswer {
     /// It has not started and never will.
     NotStarted,
     /// It has started.
     Started,
-    /// Nothing is known: it may have run.
+    /// The agent has no record of it: it may have run.
     Unknown,
 }
 
 #[derive(Debug, Clone, Default)]
 struct EntryLog {
-    floor: u64,
+    /// Requests with a lower number are forgotten.
+    oldest_request: u64,
     states: BTreeMap<(u64, u32), AttemptState>,
 }
 
-/// Attempts by the entry's life, with a bound for each.
+/// Bounded record of attempts, grouped by the incarnation of their entry.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptLog {
     entries: BTreeMap<Incarnation, EntryLog>,
-    floor: Option<Incarnation>,
+    /// The newest entry incarnation that has been forgotten; older ones are forgotten too.
+    forgotten_up_to: Option<Incarnation>,
 }
 
 impl AttemptLog {
-    /// Whether the attempt has never arrived and may be judged.
+    /// Returns whether the attempt has not arrived before. It is `false` for forgotten attempts.
     #[must_use]
     pub fn is_new(&self, attempt: AttemptId) -> bool {
         if self.is_forgotten(attempt) {
@@ -62,28 +63,28 @@
         log.is_none_or(|log| !log.states.contains_key(&(attempt.request, attempt.attempt)))
     }
 
-    /// The state of an attempt, if it is remembered.
+    /// The state of an attempt, if it is recorded.
     #[must_use]
     pub fn get(&self, attempt: AttemptId) -> Option<AttemptState> {
         self.entries.get(&attempt.entry)?.states.get(&(attempt.request, attempt.attempt)).copied()
     }
 
-    /// Notes the state of an attempt. An attempt below the window stays forgotten.
+    /// Records the state of an attempt. Does nothing for a forgotten attempt.
     pub fn set(&mut self, attempt: AttemptId, state: AttemptState) {
         if self.is_forgotten(attempt) {
             return;
         }
         let log = self.entries.entry(attempt.entry).or_default();
         log.states.insert((attempt.request, attempt.attempt), state);
-        let floor = attempt.request.saturating_sub(WINDOW_REQUESTS).max(log.floor);
-        if floor > log.floor {
-            log.floor = floor;
-            log.states = log.states.split_off(&(floor, 0));
+        let oldest_request = attempt.request.saturating_sub(WINDOW_REQUESTS).max(log.oldest_request);
+        if oldest_request > log.oldest_request {
+            log.oldest_request = oldest_request;
+            log.states = log.states.split_off(&(oldest_request, 0));
         }
         self.forget_oldest_entry();
     }
 
-    /// Lays a tombstone unless the attempt has started.
+    /// Marks the attempt with a tombstone, unless it has started or is forgotten.
     pub fn revoke(&mut self, attempt: AttemptId) -> RevokeAnswer {
         if self.is_forgotten(attempt) {
             return RevokeAnswer::Unknown;
@@ -98,8 +99,8 @@
     }
 
     fn is_forgotten(&self, attempt: AttemptId) -> bool {
-        let entry_forgotten = self.floor.is_some_and(|floor| attempt.entry <= floor);
-        entry_forgotten || self.entries.get(&attempt.entry).is_some_and(|log| attempt.request < log.floor)
+        let is_entry_forgotten = self.forgotten_up_to.is_some_and(|newest| attempt.entry <= newest);
+        is_entry_forgotten || self.entries.get(&attempt.entry).is_some_and(|log| attempt.request < log.oldest_request)
     }
 
     fn forget_oldest_entry(&mut self) {
@@ -107,7 +108,7 @@
             return;
         }
         if let Some((oldest, _)) = self.entries.pop_first() {
-            self.floor = Some(oldest);
+            self.forgotten_up_to = Some(oldest);
         }
     }
 }
--- a/crates/ochreyard-core/src/admission/fair_queue.rs
+++ b/crates/ochreyard-core/src/admission/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Deficit round robin over workspaces.
+//! A queue of offers that shares capacity between workspaces by deficit round robin.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,32 +6,34 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::{AttemptId, WorkspaceId};
 
-/// Work that a workspace may start in one round, in units of cost.
-const QUANTUM: i64 = 64;
+/// Work that a workspace may start in one round, in units of [`Offer::cost`].
+const QUANTUM_COST: i64 = 64;
 
-/// Largest debt that a workspace carries from runs that took more than predicted.
-const MAX_DEBT: i64 = 64 * QUANTUM;
+/// Bound on the debt or credit that a workspace carries over from runs whose cost was mispredicted.
+const MAX_DEBT_COST: i64 = 64 * QUANTUM_COST;
 
-/// An offer that waits.
+/// An offer in the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedOffer {
-    /// The offer.
+    /// The queued offer.
     pub offer: Offer,
-    /// When it is too late to start, in milliseconds.
+    /// Time from which it is too late to start, in milliseconds.
     pub deadline_ms: u64,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Lane {
-    waiting: VecDeque<QueuedOffer>,
+    queued: VecDeque<QueuedOffer>,
     deficit: i64,
 }
 
-/// Waiting offers, each workspace in its own lane.
+/// Queued offers, with a lane for each workspace.
 #[derive(Debug, Clone)]
 pub struct FairQueue {
     lanes: BTreeMap<WorkspaceId, Lane>,
+    /// Workspaces with queued offers, in the order of their turns.
     round: VecDeque<WorkspaceId>,
+    /// Whether the workspace at the front of `round` has received its quantum for this turn.
     front_was_credited: bool,
     len: usize,
     limit: usize,
@@ -39,7 +41,7 @@
 }
 
 impl FairQueue {
-    /// An empty queue with room for `limit` offers, `limit_per_workspace` of each workspace.
+    /// Creates an empty queue for at most `limit` offers in all and `limit_per_workspace` of each workspace.
     #[must_use]
     pub const fn new(limit: usize, limit_per_workspace: usize) -> Self {
         Self {
@@ -52,25 +54,25 @@
         }
     }
 
-    /// How many wait.
+    /// The number of queued offers.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Returns whether no offer is queued.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether another offer of this workspace may wait.
+    /// Checks whether another offer of this workspace may be queued.
     ///
     /// # Errors
     ///
-    /// The kind of refusal.
-    pub fn check_room(&self, workspace: &WorkspaceId) -> Result<(), ErrorKind> {
-        let own = self.lanes.get(workspace).map_or(0, |lane| lane.waiting.len());
+    /// The kind of refusal, if a limit is reached.
+    pub fn check_capacity(&self, workspace: &WorkspaceId) -> Result<(), ErrorKind> {
+        let own = self.lanes.get(workspace).map_or(0, |lane| lane.queued.len());
         if own >= self.limit_per_workspace {
             return Err(ErrorKind::WorkspaceOverLimit);
         }
@@ -80,81 +82,82 @@
         Ok(())
     }
 
-    /// Adds an offer.
-    pub fn push(&mut self, waiting: QueuedOffer) {
-        let workspace = waiting.offer.workspace.clone();
+    /// Appends an offer to the lane of its workspace.
+    pub fn push(&mut self, queued: QueuedOffer) {
+        let workspace = queued.offer.workspace.clone();
         let lane = self.lanes.entry(workspace.clone()).or_default();
-        if lane.waiting.is_empty() {
+        if lane.queued.is_empty() {
             self.round.push_back(workspace);
         }
-        lane.waiting.push_back(waiting);
+        lane.queued.push_back(queued);
         self.len += 1;
     }
 
-    /// Takes the offer whose turn it is.
+    /// Removes and returns the offer whose turn it is.
     pub fn pop(&mut self) -> Option<QueuedOffer> {
         loop {
             let workspace = self.round.front()?.clone();
             let lane = self.lanes.get_mut(&workspace)?;
             if !self.front_was_credited {
-                lane.deficit += QUANTUM;
+                lane.deficit += QUANTUM_COST;
                 self.front_was_credited = true;
             }
-            let cost = lane.waiting.front().map_or(0, |w| signed(w.offer.cost));
+            let cost = lane.queued.front().map_or(0, |w| signed(w.offer.cost));
             if cost <= lane.deficit {
                 lane.deficit -= cost;
-                let waiting = lane.waiting.pop_front();
+                let queued = lane.queued.pop_front();
                 self.len -= 1;
                 self.close_if_empty(&workspace);
-                return waiting;
+                return queued;
             }
             self.round.rotate_left(1);
             self.front_was_credited = false;
         }
     }
 
-    /// Charges a workspace the difference between predicted and real work.
-    pub fn settle_cost(&mut self, workspace: &WorkspaceId, predicted: u64, real: u64) {
+    /// Charges a workspace the difference between the predicted and the actual cost of a run.
+    pub fn settle_cost(&mut self, workspace: &WorkspaceId, predicted_cost: u64, actual_cost: u64) {
         let Some(lane) = self.lanes.get_mut(workspace) else { return };
-        lane.deficit = (lane.deficit + signed(predicted) - signed(real)).clamp(-MAX_DEBT, MAX_DEBT);
+        lane.deficit =
+            (lane.deficit + signed(predicted_cost) - signed(actual_cost)).clamp(-MAX_DEBT_COST, MAX_DEBT_COST);
     }
 
-    /// Takes out one offer.
+    /// Removes the offer of one attempt.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<QueuedOffer> {
-        let is_it = |w: &QueuedOffer| w.offer.attempt == attempt;
-        let workspace = self.lanes.iter().find(|(_, lane)| lane.waiting.iter().any(is_it))?.0.clone();
+        let is_attempt = |w: &QueuedOffer| w.offer.attempt == attempt;
+        let workspace = self.lanes.iter().find(|(_, lane)| lane.queued.iter().any(is_attempt))?.0.clone();
         let lane = self.lanes.get_mut(&workspace)?;
-        let at = lane.waiting.iter().position(is_it)?;
-        let waiting = lane.waiting.remove(at);
+        let at = lane.queued.iter().position(is_attempt)?;
+        let queued = lane.queued.remove(at);
         self.len -= 1;
         self.close_if_empty(&workspace);
-        waiting
+        queued
     }
 
-    /// Takes out all offers whose deadline has passed.
+    /// Removes all offers whose deadline has passed.
     pub fn take_expired(&mut self, now_ms: u64) -> Vec<QueuedOffer> {
-        let late: Vec<AttemptId> = self
+        let expired: Vec<AttemptId> = self
             .lanes
             .values()
-            .flat_map(|lane| &lane.waiting)
+            .flat_map(|lane| &lane.queued)
             .filter(|w| w.deadline_ms <= now_ms)
             .map(|w| w.offer.attempt)
             .collect();
-        late.into_iter().filter_map(|attempt| self.remove(attempt)).collect()
+        expired.into_iter().filter_map(|attempt| self.remove(attempt)).collect()
     }
 
-    /// Takes out all offers, lane by lane.
+    /// Removes all offers, lane by lane.
     pub fn take_all(&mut self) -> Vec<QueuedOffer> {
         self.round.clear();
         self.front_was_credited = false;
         self.len = 0;
-        self.lanes.values_mut().flat_map(|lane| std::mem::take(&mut lane.waiting)).collect()
+        self.lanes.values_mut().flat_map(|lane| std::mem::take(&mut lane.queued)).collect()
     }
 
-    /// A workspace with nothing waiting keeps its debt, but saves up no credit.
+    /// Ends the turn of a workspace without queued offers. It keeps its debt, but accumulates no credit.
     fn close_if_empty(&mut self, workspace: &WorkspaceId) {
         let Some(lane) = self.lanes.get_mut(workspace) else { return };
-        if !lane.waiting.is_empty() {
+        if !lane.queued.is_empty() {
             return;
         }
         lane.deficit = lane.deficit.min(0);
--- a/crates/ochreyard-core/src/admission/offer.rs
+++ b/crates/ochreyard-core/src/admission/offer.rs
@@ -1,4 +1,4 @@
-//! What an entry offers to an agent, and how it ends.
+//! An attempt that an entry offers to an agent, and the outcome of the attempt.
 
 use std::sync::Arc;
 
@@ -11,36 +11,36 @@
 /// The caller's idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdempotencyKey {
-    /// The key as the caller wrote it.
+    /// The key as the caller sent it.
     pub key: String,
-    /// Hash of the request, to notice the same key on another request.
+    /// Hash of the request, which shows that the same key was used for another request.
     pub fingerprint: u64,
 }
 
-/// One attempt that an entry offers.
+/// An attempt that an entry offers to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// Its identifier.
+    /// The identifier of the attempt.
     pub attempt: AttemptId,
-    /// The life of the agent that is meant.
+    /// The incarnation of the agent that the offer is addressed to.
     #[serde(rename = "to")]
     pub agent_incarnation: Incarnation,
-    /// The workspace that pays for it.
+    /// The workspace that sent the request.
     pub workspace: WorkspaceId,
-    /// The service that is meant.
+    /// The service that the request is for.
     pub service: ServiceId,
-    /// The caller's key, for a request that is not repeatable.
+    /// The caller's idempotency key, for a request that is not repeatable.
     pub key: Option<IdempotencyKey>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Predicted work, in tokens or calls.
+    /// Predicted cost, in tokens or calls.
     pub cost: u64,
-    /// Time that is left to the caller's deadline, in milliseconds.
+    /// Time until the caller's deadline, in milliseconds.
     pub remaining_ms: u64,
 }
 
 impl Offer {
-    /// A repeatable offer with one unit of work and a minute's time.
+    /// Creates an offer of a repeatable request with a cost of 1 and 60 s until the deadline.
     #[must_use]
     pub fn new(
         attempt: AttemptId,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Makes it a request that is not repeatable, under a key.
+    /// Makes the request non-repeatable, with an idempotency key.
     #[must_use]
     pub fn with_key(mut self, key: impl Into<String>, fingerprint: u64) -> Self {
         self.key = Some(IdempotencyKey { key: key.into(), fingerprint });
@@ -68,21 +68,21 @@
         self
     }
 
-    /// Sets the predicted work.
+    /// Sets the predicted cost.
     #[must_use]
     pub const fn with_cost(mut self, cost: u64) -> Self {
         self.cost = cost;
         self
     }
 
-    /// Sets the time that is left.
+    /// Sets the time until the deadline.
     #[must_use]
     pub const fn with_remaining_ms(mut self, remaining_ms: u64) -> Self {
         self.remaining_ms = remaining_ms;
         self
     }
 
-    /// The key within its workspace and service.
+    /// The idempotency key with its workspace and service.
     #[must_use]
     pub fn key_id(&self) -> Option<KeyId> {
         let key = self.key.as_ref()?;
@@ -93,34 +93,34 @@
 /// How a started attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// What is known about the run.
+    /// What is known about whether the request ran.
     pub run: RunStatus,
-    /// The work that it took, in the unit of [`Offer::cost`].
+    /// Actual cost, in the unit of [`Offer::cost`].
     pub cost: u64,
-    /// The whole answer, if it is small enough to keep.
+    /// The complete answer, if it is small enough to store.
     pub answer: Option<Arc<StoredAnswer>>,
 }
 
 impl Outcome {
-    /// An attempt that ran and took `cost`.
+    /// Creates the outcome of an attempt that ran, at this cost.
     #[must_use]
     pub const fn ran(cost: u64) -> Self {
         Self { run: RunStatus::Ran, cost, answer: None }
     }
 
-    /// An attempt that may have run.
+    /// Creates the outcome of an attempt that may have run.
     #[must_use]
     pub const fn may_have_run(cost: u64) -> Self {
         Self { run: RunStatus::MayHaveRun, cost, answer: None }
     }
 
-    /// An attempt that never reached the endpoint.
+    /// Creates the outcome of an attempt that never reached the endpoint.
     #[must_use]
     pub const fn not_run() -> Self {
         Self { run: RunStatus::NotRun, cost: 0, answer: None }
     }
 
-    /// Adds the answer.
+    /// Sets the answer to store.
     #[must_use]
     pub fn with_answer(mut self, answer: Arc<StoredAnswer>) -> Self {
         self.answer = Some(answer);
--- a/crates/ochreyard-core/src/admission/settings.rs
+++ b/crates/ochreyard-core/src/admission/settings.rs
@@ -1,37 +1,37 @@
-//! Limits of one agent's admission.
+//! Settings of the admission control of one agent.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 use crate::config::Configuration;
 use crate::ids::{DataCentreId, EndpointId, ServiceId};
 
-/// Who the agent is, and its limits.
+/// Identity and limits of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionSettings {
-    /// The endpoint beside which the agent runs.
+    /// The endpoint that the agent runs next to.
     pub endpoint: EndpointId,
-    /// The data centre of both.
+    /// The data centre of the agent and its endpoint.
     pub data_centre: DataCentreId,
     /// The address at which entries reach the agent.
     pub agent_addr: SocketAddr,
-    /// Requests at the same time, until the configuration says otherwise.
+    /// Number of requests that may run at the same time, unless the configuration sets it.
     pub slots: u32,
-    /// Requests that may wait in all.
+    /// Maximum number of queued requests.
     pub queue_limit: usize,
-    /// Requests of one workspace that may wait.
+    /// Maximum number of queued requests of one workspace.
     pub queue_limit_per_workspace: usize,
-    /// How long the outcome of a key is kept, in milliseconds.
+    /// How long the outcome of an idempotency key is stored, in milliseconds.
     pub key_window_ms: u64,
-    /// How many keys are kept at the most.
+    /// Maximum number of stored keys.
     pub max_keys: usize,
-    /// By how much clocks may differ, in milliseconds.
+    /// Maximum clock skew between processes, in milliseconds.
     pub clock_margin_ms: u64,
-    /// Smallest advice on when to come back, in milliseconds.
+    /// Smallest retry delay that a refusal advises, in milliseconds.
     pub min_retry_after_ms: u64,
 }
 
 impl AdmissionSettings {
-    /// The usual limits for `endpoint` in `data_centre`.
+    /// Creates the default settings for `endpoint` in `data_centre`.
     #[must_use]
     pub fn new(endpoint: impl Into<EndpointId>, data_centre: impl Into<DataCentreId>) -> Self {
         Self {
@@ -55,30 +55,30 @@
         self
     }
 
-    /// Sets how many requests run at the same time.
+    /// Sets how many requests may run at the same time.
     #[must_use]
     pub const fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// Sets how many requests may wait, in all and for each workspace.
+    /// Sets how many requests may be queued, in all and for each workspace.
     #[must_use]
-    pub const fn with_queue_limits(mut self, all: usize, per_workspace: usize) -> Self {
-        self.queue_limit = all;
+    pub const fn with_queue_limits(mut self, total: usize, per_workspace: usize) -> Self {
+        self.queue_limit = total;
         self.queue_limit_per_workspace = per_workspace;
         self
     }
 
-    /// Sets how long, and how many, outcomes of keys are kept.
+    /// Sets how long outcomes of keys are stored, and how many.
     #[must_use]
-    pub const fn with_keys(mut self, window_ms: u64, max_keys: usize) -> Self {
-        self.key_window_ms = window_ms;
+    pub const fn with_keys(mut self, key_window_ms: u64, max_keys: usize) -> Self {
+        self.key_window_ms = key_window_ms;
         self.max_keys = max_keys;
         self
     }
 
-    /// The service that `config` gives to this endpoint.
+    /// The service that this endpoint runs according to `config`.
     #[must_use]
     pub fn service_of(&self, config: &Configuration) -> Option<ServiceId> {
         config.endpoint(&self.endpoint).map(|spec| spec.service.clone())
