--- a/crates/ochreyard-core/src/config.rs
+++ b/crates/ochreyard-core/src/config.rs
@@ -1,5 +1,5 @@
-//! The accepted configuration: what it holds, how it changes, and how it is
-//! folded from the platform's log.
+//! The accepted configuration: its contents, the plans that change it, and the fold that derives it from the
+//! platform's log.
 
 mod change;
 mod configuration;
--- a/crates/ochreyard-core/src/config/change.rs
+++ b/crates/ochreyard-core/src/config/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration: what an intent comes down to.
+//! A change of the configuration, which an operator's intent is resolved to.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,7 +8,7 @@
 use super::spec::{DataCentreSpec, EndpointSpec, ServiceSpec, WorkspaceSpec};
 use crate::ids::{DataCentreId, EndpointId, ServiceId, WorkspaceId};
 
-/// Names one object of the configuration.
+/// The key of one object of the configuration, such as `service/trail-map`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", from = "String")]
 pub struct ObjectKey(String);
@@ -26,7 +26,7 @@
         Self(format!("workspace/{id}"))
     }
 
-    /// The key of a place.
+    /// The key of a data centre.
     #[must_use]
     pub fn data_centre(id: &DataCentreId) -> Self {
         Self(format!("place/{id}"))
@@ -57,58 +57,58 @@
     }
 }
 
-/// Objects that are taken out.
+/// Objects that a change removes.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Removal {
-    /// Services to take out.
+    /// Services to remove.
     pub services: BTreeSet<ServiceId>,
-    /// Workspaces to take out.
+    /// Workspaces to remove.
     pub workspaces: BTreeSet<WorkspaceId>,
-    /// Places to take out.
+    /// Data centres to remove.
     #[serde(rename = "places")]
     pub data_centres: BTreeSet<DataCentreId>,
-    /// Endpoints to take out.
+    /// Endpoints to remove.
     pub endpoints: BTreeSet<EndpointId>,
 }
 
-/// What an operator wants: objects to put in or replace, and objects to take out.
+/// Objects that an operator wants to add, replace or remove.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Change {
-    /// Services to put in or replace.
+    /// Services to add or replace.
     pub services: Vec<ServiceSpec>,
-    /// Workspaces to put in or replace.
+    /// Workspaces to add or replace.
     pub workspaces: Vec<WorkspaceSpec>,
-    /// Places to put in or replace.
+    /// Data centres to add or replace.
     #[serde(rename = "places")]
     pub data_centres: Vec<DataCentreSpec>,
-    /// Endpoints to put in or replace.
+    /// Endpoints to add or replace.
     pub endpoints: Vec<EndpointSpec>,
-    /// Objects to take out.
+    /// Objects to remove.
     pub remove: Removal,
-    /// Endpoints whose machines the operator states to be dead for good: keys
-    /// that they kept may move without their agreement.
+    /// Endpoints that the operator declares permanently dead. Keys whose home they are may move without their
+    /// acknowledgement.
     pub stated_dead: BTreeSet<EndpointId>,
 }
 
 impl Change {
-    /// The objects that this writes.
+    /// The objects that this change writes.
     #[must_use]
     pub fn writes(&self) -> BTreeSet<ObjectKey> {
-        let put = (self.services.iter().map(|s| ObjectKey::service(&s.service)))
+        let added = (self.services.iter().map(|s| ObjectKey::service(&s.service)))
             .chain(self.workspaces.iter().map(|w| ObjectKey::workspace(&w.workspace)))
-            .chain(self.data_centres.iter().map(|p| ObjectKey::data_centre(&p.data_centre)))
+            .chain(self.data_centres.iter().map(|d| ObjectKey::data_centre(&d.data_centre)))
             .chain(self.endpoints.iter().map(|e| ObjectKey::endpoint(&e.endpoint)));
         let removed = (self.remove.services.iter().map(ObjectKey::service))
             .chain(self.remove.workspaces.iter().map(ObjectKey::workspace))
             .chain(self.remove.data_centres.iter().map(ObjectKey::data_centre))
             .chain(self.remove.endpoints.iter().map(ObjectKey::endpoint));
         let dead = self.stated_dead.iter().map(ObjectKey::endpoint);
-        put.chain(removed).chain(dead).collect()
+        added.chain(removed).chain(dead).collect()
     }
 
-    /// The objects that this relies on without writing them.
+    /// The objects that this change refers to without writing them.
     #[must_use]
     pub fn reads(&self) -> BTreeSet<ObjectKey> {
         let of_endpoints = self
@@ -116,33 +116,33 @@
             .iter()
             .flat_map(|e| [ObjectKey::service(&e.service), ObjectKey::data_centre(&e.data_centre)]);
         let of_workspaces = self.workspaces.iter().flat_map(|w| {
-            let places = w.run_in.iter().chain(&w.keep_in).map(ObjectKey::data_centre);
-            w.services.iter().map(ObjectKey::service).chain(places)
+            let data_centres = w.run_in.iter().chain(&w.keep_in).map(ObjectKey::data_centre);
+            w.services.iter().map(ObjectKey::service).chain(data_centres)
         });
         of_endpoints.chain(of_workspaces).collect()
     }
 
-    /// Whether nothing would change.
+    /// Returns whether this change writes no object.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.writes().is_empty()
     }
 }
 
-/// One fault of an intent, with the field and what to do.
+/// An error in an intent: the field, the problem and the fix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{field}: {problem}; {fix}")]
 pub struct ChangeError {
-    /// Which field of which object.
+    /// The object and its field, such as `services/trail-map/first_byte_ms`.
     pub field: String,
-    /// What is wrong with it.
+    /// The problem with the field.
     pub problem: String,
     /// What to write instead.
     pub fix: String,
 }
 
 impl ChangeError {
-    /// A fault in `field`.
+    /// Creates an error in `field`.
     #[must_use]
     pub fn new(field: impl Into<String>, problem: impl Into<String>, fix: impl Into<String>) -> Self {
         Self { field: field.into(), problem: problem.into(), fix: fix.into() }
--- a/crates/ochreyard-core/src/config/configuration.rs
+++ b/crates/ochreyard-core/src/config/configuration.rs
@@ -1,4 +1,4 @@
-//! The state that the configuration stream folds to.
+//! The configuration at one version, which the records of the configuration stream fold to.
 
 mod validate;
 
@@ -13,35 +13,35 @@
 use crate::home::{HomeMember, HomeSet, HomeView, RunInSet, member_key};
 use crate::ids::{DataCentreId, EndpointId, ServiceId, WorkspaceId};
 
-/// A plan whose base lies further back than this many records is void: this
-/// bounds how long removed objects must be remembered.
+/// Maximum number of records between the base version of a plan and its confirmation; an older plan is void. This
+/// bounds how long the versions of removed objects are stored.
 pub const MAX_PLAN_AGE_RECORDS: u64 = 10_000;
 
-/// Why a confirmed plan has no effect, the same at every reader.
+/// Why a confirmed plan has no effect. Every reader of the log derives the same reason.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum VoidReason {
-    /// Something that it touches changed after it was made.
+    /// An object that the plan writes or refers to changed after the plan was made.
     #[error("`{object}` changed at version {version}, after the plan was made")]
     Conflict {
-        /// The object.
+        /// The key of the changed object.
         object: ObjectKey,
-        /// The version of the change.
+        /// The version in which the object changed.
         version: u64,
     },
-    /// It is too old to be judged.
-    #[error("the plan is older than {MAX_PLAN_AGE_RECORDS} records")]
+    /// The plan is too old to be checked for conflicts.
+    #[error("the base version of the plan is more than {MAX_PLAN_AGE_RECORDS} records old")]
     TooOld,
-    /// The result would not hold together.
+    /// The resulting configuration would be invalid.
     #[error("{0}")]
     Invalid(ChangeError),
 }
 
-/// What a record did.
+/// The effect of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// The configuration has a new version.
     Changed,
-    /// Nothing changed.
+    /// The record had no effect.
     Unchanged,
 }
 
@@ -62,13 +62,13 @@
 }
 
 impl Configuration {
-    /// The version: one more than the offset of the last record with an effect.
+    /// The version, which is one more than the offset of the last record that had an effect.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// The offset of the first record that is not in this state.
+    /// The offset of the first record that is not included in this state.
     #[must_use]
     pub const fn folded_to(&self) -> u64 {
         self.folded_to
@@ -100,7 +100,7 @@
         self.workspaces.values()
     }
 
-    /// A place by name.
+    /// A data centre by name.
     #[must_use]
     pub fn data_centre(&self, id: &DataCentreId) -> Option<&DataCentreSpec> {
         self.data_centres.get(id)
@@ -122,14 +122,14 @@
         self.endpoints.values().filter(move |e| e.service == *service)
     }
 
-    /// The endpoints in one place.
+    /// The endpoints in one data centre.
     #[must_use]
     pub fn endpoints_in(&self, data_centre: &DataCentreId) -> Vec<EndpointId> {
-        let here = self.endpoints.values().filter(|e| e.data_centre == *data_centre);
-        here.map(|e| e.endpoint.clone()).collect()
+        let specs = self.endpoints.values().filter(|e| e.data_centre == *data_centre);
+        specs.map(|e| e.endpoint.clone()).collect()
     }
 
-    /// Where keys of this workspace and service live.
+    /// The view that determines the homes of keys of this workspace and service.
     #[must_use]
     pub fn home_view(&self, workspace: &WorkspaceId, service: &ServiceId) -> HomeView<'_> {
         HomeView {
@@ -139,78 +139,78 @@
         }
     }
 
-    /// Whether keys of a service live in `other` where they live here.
+    /// Returns whether the keys of a service have the same homes in `other` as here.
     #[must_use]
     pub fn has_same_homes(&self, other: &Self, service: &ServiceId) -> bool {
         let same_sets = self.home_sets.get(service) == other.home_sets.get(service);
         same_sets && self.run_in_sets == other.run_in_sets && self.home_acks == other.home_acks
     }
 
-    /// Endpoint sets of a service that some process may still hold, oldest first.
+    /// Endpoint sets of a service that some process may still have in force, oldest first.
     #[must_use]
     pub fn home_sets(&self, service: &ServiceId) -> &[HomeSet] {
         self.home_sets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Agents that are no longer named by any endpoint, but may still run keys:
-    /// they must hear of the present version before those keys can move.
+    /// Agents that no endpoint in the configuration names any more, but that may still run keys. They must
+    /// acknowledge the current version before those keys can move.
     #[must_use]
     pub fn former_homes(&self) -> BTreeSet<(EndpointId, SocketAddr)> {
-        let is_present =
+        let is_current =
             |id: &EndpointId, addr: SocketAddr| self.endpoints.get(id).is_some_and(|e| e.agent_addr == addr);
         self.home_sets
             .values()
             .flatten()
             .flat_map(|set| &set.members)
-            .filter(|(id, member)| !is_present(id, member.agent_addr))
+            .filter(|(id, member)| !is_current(id, member.agent_addr))
             .map(|(id, member)| (id.clone(), member.agent_addr))
             .collect()
     }
 
-    /// Whether this agent's word on `version` would let keys move.
+    /// Returns whether an acknowledgement of `version` by this agent is missing for keys to move.
     #[must_use]
     pub fn needs_ack(&self, endpoint: &EndpointId, agent_addr: SocketAddr, version: u64) -> bool {
         let newest = self.newest_home_change();
-        let known = self.home_acks.get(&member_key(endpoint, agent_addr)).copied().unwrap_or(0);
-        self.has_moving_homes() && known < newest && version >= newest
+        let acked = self.home_acks.get(&member_key(endpoint, agent_addr)).copied().unwrap_or(0);
+        self.has_moving_homes() && acked < newest && version >= newest
     }
 
     fn newest_home_change(&self) -> u64 {
         let of_sets = self.home_sets.values().filter_map(|sets| sets.last()).map(|s| s.since_version);
-        let of_places = self.run_in_sets.values().filter_map(|sets| sets.last()).map(|s| s.since_version);
-        of_sets.chain(of_places).max().unwrap_or(0)
+        let of_run_in = self.run_in_sets.values().filter_map(|sets| sets.last()).map(|s| s.since_version);
+        of_sets.chain(of_run_in).max().unwrap_or(0)
     }
 
     fn has_moving_homes(&self) -> bool {
         self.home_sets.values().any(|sets| sets.len() > 1) || self.run_in_sets.values().any(|sets| sets.len() > 1)
     }
 
-    /// Applies a confirmed plan that stands at `offset`.
+    /// Applies a confirmed plan whose record is at `offset`.
     ///
     /// # Errors
     ///
-    /// [`VoidReason`] when the plan has no effect; the state is then unchanged.
+    /// Returns the [`VoidReason`] if the plan has no effect; the state is then unchanged.
     pub fn apply(&mut self, offset: u64, plan: &ConfirmedPlan) -> Result<ApplyOutcome, VoidReason> {
-        self.check_overtaken(offset, plan)?;
+        self.check_conflicts(offset, plan)?;
         let mut next = self.clone();
-        next.put_and_remove(&plan.change);
-        next.validate().map_err(|mut faults| VoidReason::Invalid(faults.swap_remove(0)))?;
+        next.write_objects(&plan.change);
+        next.validate().map_err(|mut errors| VoidReason::Invalid(errors.swap_remove(0)))?;
         let version = offset + 1;
         next.version = version;
         next.modified.extend(plan.change.writes().into_iter().map(|key| (key, version)));
-        next.state_dead(&plan.change, version);
+        next.acknowledge_for_dead(&plan.change, version);
         next.record_home_changes(version);
-        next.forget_old_removals();
+        next.prune_removed_objects();
         *self = next;
         Ok(ApplyOutcome::Changed)
     }
 
-    fn check_overtaken(&self, offset: u64, plan: &ConfirmedPlan) -> Result<(), VoidReason> {
+    fn check_conflicts(&self, offset: u64, plan: &ConfirmedPlan) -> Result<(), VoidReason> {
         if plan.base_version.saturating_add(MAX_PLAN_AGE_RECORDS) < offset {
             return Err(VoidReason::TooOld);
         }
-        let touched = plan.change.writes().into_iter().chain(plan.change.reads());
-        for object in touched {
+        let objects = plan.change.writes().into_iter().chain(plan.change.reads());
+        for object in objects {
             let version = self.modified.get(&object).copied().unwrap_or(0);
             if version > plan.base_version {
                 return Err(VoidReason::Conflict { object, version });
@@ -219,11 +219,11 @@
         Ok(())
     }
 
-    fn put_and_remove(&mut self, change: &Change) {
+    fn write_objects(&mut self, change: &Change) {
         let Change { services, workspaces, data_centres, endpoints, remove, .. } = change.clone();
         self.services.extend(services.into_iter().map(|s| (s.service.clone(), s)));
         self.workspaces.extend(workspaces.into_iter().map(|w| (w.workspace.clone(), w)));
-        self.data_centres.extend(data_centres.into_iter().map(|p| (p.data_centre.clone(), p)));
+        self.data_centres.extend(data_centres.into_iter().map(|d| (d.data_centre.clone(), d)));
         self.endpoints.extend(endpoints.into_iter().map(|e| (e.endpoint.clone(), e)));
         self.services.retain(|id, _| !remove.services.contains(id));
         self.workspaces.retain(|id, _| !remove.workspaces.contains(id));
@@ -231,8 +231,8 @@
         self.endpoints.retain(|id, _| !remove.endpoints.contains(id));
     }
 
-    /// Takes the operator's word in place of a dead agent's.
-    fn state_dead(&mut self, change: &Change, version: u64) {
+    /// Records acknowledgements on behalf of agents that the operator declares dead.
+    fn acknowledge_for_dead(&mut self, change: &Change, version: u64) {
         let keys: Vec<String> = change
             .stated_dead
             .iter()
@@ -243,15 +243,15 @@
     }
 
     fn record_home_changes(&mut self, version: u64) {
-        let mut present: BTreeMap<ServiceId, BTreeMap<EndpointId, HomeMember>> = BTreeMap::new();
+        let mut members_of: BTreeMap<ServiceId, BTreeMap<EndpointId, HomeMember>> = BTreeMap::new();
         for e in self.endpoints.values() {
             let member = HomeMember { agent_addr: e.agent_addr, data_centre: e.data_centre.clone() };
-            present.entry(e.service.clone()).or_default().insert(e.endpoint.clone(), member);
+            members_of.entry(e.service.clone()).or_default().insert(e.endpoint.clone(), member);
         }
         for service in self.home_sets.keys() {
-            present.entry(service.clone()).or_default();
+            members_of.entry(service.clone()).or_default();
         }
-        for (service, members) in present {
+        for (service, members) in members_of {
             let sets = self.home_sets.entry(service).or_default();
             if sets.last().is_none_or(|last| last.members != members) {
                 sets.push(HomeSet { since_version: version, members });
@@ -266,7 +266,7 @@
         self.collapse_home_sets();
     }
 
-    /// Notes which agents have which version in force, at `offset`.
+    /// Records which versions agents have in force, from a record at `offset`.
     pub fn record_home_acks(&mut self, offset: u64, acks: &[HomeAck]) -> ApplyOutcome {
         for ack in acks {
             let entry = self.home_acks.entry(member_key(&ack.endpoint, ack.agent_addr)).or_default();
@@ -277,19 +277,19 @@
         ApplyOutcome::Changed
     }
 
-    /// Forgets past sets that no agent can hold any more.
+    /// Drops past sets that no agent can have in force any more.
     fn collapse_home_sets(&mut self) {
         let acks = &self.home_acks;
         let acked = |set: &HomeSet, version: u64| {
-            let behind = |(id, m): (&EndpointId, &HomeMember)| {
+            let is_behind = |(id, m): (&EndpointId, &HomeMember)| {
                 acks.get(&member_key(id, m.agent_addr)).is_none_or(|acked| *acked < version)
             };
-            !set.members.iter().any(behind)
+            !set.members.iter().any(is_behind)
         };
-        let mut everyone_acked = 0;
+        let mut acked_by_all = 0;
         if let Some(newest) = Some(self.newest_home_change()).filter(|_| self.has_moving_homes()) {
             let all = self.home_sets.values().flatten().all(|set| acked(set, newest));
-            everyone_acked = if all { newest } else { 0 };
+            acked_by_all = if all { newest } else { 0 };
         }
         for sets in self.home_sets.values_mut() {
             while sets.len() > 1 && acked(&sets[0], sets[sets.len() - 1].since_version) {
@@ -297,7 +297,7 @@
             }
         }
         for sets in self.run_in_sets.values_mut() {
-            if sets.last().is_some_and(|last| last.since_version <= everyone_acked) {
+            if sets.last().is_some_and(|last| last.since_version <= acked_by_all) {
                 sets.drain(..sets.len() - 1);
             }
         }
@@ -306,17 +306,18 @@
         }
     }
 
-    fn forget_old_removals(&mut self) {
+    /// Drops the versions of removed objects that no valid plan can conflict with any more.
+    fn prune_removed_objects(&mut self) {
         let oldest = self.version.saturating_sub(MAX_PLAN_AGE_RECORDS);
         let (services, workspaces) = (&self.services, &self.workspaces);
         let (data_centres, endpoints) = (&self.data_centres, &self.endpoints);
-        let lives = |key: &ObjectKey| match key.to_string().split_once('/') {
+        let exists = |key: &ObjectKey| match key.to_string().split_once('/') {
             Some(("service", id)) => services.contains_key(id),
             Some(("workspace", id)) => workspaces.contains_key(id),
             Some(("place", id)) => data_centres.contains_key(id),
             Some(("endpoint", id)) => endpoints.contains_key(id),
             _ => false,
         };
-        self.modified.retain(|key, version| *version >= oldest || lives(key));
+        self.modified.retain(|key, version| *version >= oldest || exists(key));
     }
 }
--- a/crates/ochreyard-core/src/config/delta.rs
+++ b/crates/ochreyard-core/src/config/delta.rs
@@ -1,4 +1,4 @@
-//! What changed since a version, for a process that has that version in force.
+//! The difference between two versions of the configuration, for a process that has the older one in force.
 
 use std::sync::Arc;
 
@@ -7,26 +7,26 @@
 use super::configuration::{ApplyOutcome, Configuration};
 use super::record::ConfigRecord;
 
-/// One record of the log that had an effect.
+/// A record of the log that changed the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EffectiveRecord {
-    /// Its offset.
+    /// The offset of the record.
     pub offset: u64,
-    /// The record.
+    /// The content of the record.
     pub record: Arc<ConfigRecord>,
 }
 
-/// The records that lead from one version to a later one, in the log's order.
+/// The records that lead from one version to a later one, in log order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version to start from.
+    /// The version that the records apply to.
     pub from_version: u64,
-    /// The records.
+    /// The records to apply, in log order.
     pub records: Vec<EffectiveRecord>,
 }
 
 impl Delta {
-    /// The configuration that `base` becomes; `None` if this starts from another version.
+    /// Applies the records to `base`. Returns `None` if they apply to another version.
     #[must_use]
     pub fn applied_to(&self, base: &Configuration) -> Option<Configuration> {
         if base.version() != self.from_version {
--- a/crates/ochreyard-core/src/config/plan.rs
+++ b/crates/ochreyard-core/src/config/plan.rs
@@ -1,4 +1,4 @@
-//! The plan that answers an intent.
+//! The plan that is made from an operator's intent.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,32 +8,32 @@
 use super::spec::{EndpointSpec, WorkspaceSpec};
 use crate::ids::{DataCentreId, EndpointId, PlanId};
 
-/// One step of a plan, in the order in which it takes effect.
+/// One step of a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanStep {
-    /// The object that changes.
+    /// The key of the object that changes.
     pub object: ObjectKey,
-    /// What happens to it.
+    /// What happens to the object, such as `add` or `replace`.
     pub action: String,
-    /// The endpoints that notice.
+    /// The endpoints that the step affects.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// What a change would do: shown before anything happens.
+/// The effects of a change, shown to the operator before it is confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What would be confirmed.
+    /// The record that a confirmation would write to the log.
     pub record: ConfirmedPlan,
-    /// The steps, in order.
+    /// The steps, in the order in which they take effect.
     pub steps: Vec<PlanStep>,
-    /// What it costs: load orders, keys that move, plainly.
+    /// The costs of the change, such as models to load and idempotency keys that move.
     pub costs: Vec<String>,
-    /// What could go wrong.
+    /// The risks of the change.
     pub risks: Vec<String>,
 }
 
 impl Plan {
-    /// Works out what `change` would do to `base`.
+    /// Plans the effects of `change` on `base`.
     #[must_use]
     pub fn new(plan_id: PlanId, base: &Configuration, change: Change) -> Self {
         let steps = steps(base, &change);
@@ -45,39 +45,43 @@
 }
 
 fn steps(base: &Configuration, change: &Change) -> Vec<PlanStep> {
-    let put = |exists: bool| if exists { "replace" } else { "add" };
+    let action_of = |exists: bool| if exists { "replace" } else { "add" };
     let step = |object, action: &str, endpoints| PlanStep { object, action: action.into(), endpoints };
     let mut steps = Vec::new();
     for spec in &change.data_centres {
-        let at = base.endpoints_in(&spec.data_centre);
+        let affected = base.endpoints_in(&spec.data_centre);
         steps.push(step(
             ObjectKey::data_centre(&spec.data_centre),
-            put(base.data_centre(&spec.data_centre).is_some()),
-            at,
+            action_of(base.data_centre(&spec.data_centre).is_some()),
+            affected,
         ));
     }
     for service in &change.services {
-        let of = base.endpoints_of(&service.service).map(|e| e.endpoint.clone()).collect();
-        steps.push(step(ObjectKey::service(&service.service), put(base.service(&service.service).is_some()), of));
+        let affected = base.endpoints_of(&service.service).map(|e| e.endpoint.clone()).collect();
+        steps.push(step(
+            ObjectKey::service(&service.service),
+            action_of(base.service(&service.service).is_some()),
+            affected,
+        ));
     }
     for spec in &change.endpoints {
         let exists = base.endpoint(&spec.endpoint).is_some();
-        steps.push(step(ObjectKey::endpoint(&spec.endpoint), put(exists), vec![spec.endpoint.clone()]));
+        steps.push(step(ObjectKey::endpoint(&spec.endpoint), action_of(exists), vec![spec.endpoint.clone()]));
     }
     for spec in &change.workspaces {
         let exists = base.workspace(&spec.workspace).is_some();
-        steps.push(step(ObjectKey::workspace(&spec.workspace), put(exists), endpoints_for(base, spec)));
+        steps.push(step(ObjectKey::workspace(&spec.workspace), action_of(exists), endpoints_for(base, spec)));
     }
     for id in &change.remove.workspaces {
-        let of = base.workspace(id).map(|spec| endpoints_for(base, spec)).unwrap_or_default();
-        steps.push(step(ObjectKey::workspace(id), "remove", of));
+        let affected = base.workspace(id).map(|spec| endpoints_for(base, spec)).unwrap_or_default();
+        steps.push(step(ObjectKey::workspace(id), "remove", affected));
     }
     for id in &change.remove.endpoints {
         steps.push(step(ObjectKey::endpoint(id), "drain and remove", vec![id.clone()]));
     }
     for id in &change.remove.services {
-        let of = base.endpoints_of(id).map(|e| e.endpoint.clone()).collect();
-        steps.push(step(ObjectKey::service(id), "remove", of));
+        let affected = base.endpoints_of(id).map(|e| e.endpoint.clone()).collect();
+        steps.push(step(ObjectKey::service(id), "remove", affected));
     }
     for id in &change.remove.data_centres {
         steps.push(step(ObjectKey::data_centre(id), "remove", base.endpoints_in(id)));
@@ -95,16 +99,16 @@
 
 fn costs(base: &Configuration, change: &Change) -> Vec<String> {
     let mut costs = Vec::new();
-    let loads = |spec: &&EndpointSpec| {
-        let held = base.endpoint(&spec.endpoint).map(|old| &old.model_version);
-        !spec.model_version.is_empty() && held != Some(&spec.model_version)
+    let loads_model = |spec: &&EndpointSpec| {
+        let loaded = base.endpoint(&spec.endpoint).map(|old| &old.model_version);
+        !spec.model_version.is_empty() && loaded != Some(&spec.model_version)
     };
-    let count = change.endpoints.iter().filter(loads).count();
+    let count = change.endpoints.iter().filter(loads_model).count();
     if count > 0 {
-        costs.push(format!("{count} endpoints must hold a model version that they do not hold today"));
+        costs.push(format!("{count} endpoints must load a model version that they have not loaded now"));
     }
     if moves_homes(base, change) {
-        costs.push("idempotency keys change their home: such keys are refused until the old homes agree".into());
+        costs.push("idempotency keys move to another home; they are refused until their old homes acknowledge".into());
     }
     costs
 }
@@ -124,7 +128,7 @@
     let mut risks = Vec::new();
     for id in &change.stated_dead {
         risks.push(format!(
-            "`{id}` is taken for dead: if its machine still runs and is reached, a request that is not repeatable could run twice"
+            "`{id}` is treated as dead: if its box still runs and can be reached, a non-repeatable request could run twice"
         ));
     }
     for spec in &change.workspaces {
@@ -132,7 +136,7 @@
         let lost: Vec<&DataCentreId> = old.run_in.difference(&spec.run_in).collect();
         if !lost.is_empty() {
             let names: Vec<&str> = lost.iter().map(|dc| dc.as_str()).collect();
-            risks.push(format!("`{}` may no longer run in {}: less capacity", spec.workspace, names.join(", ")));
+            risks.push(format!("`{}` may no longer run in {}, which reduces its capacity", spec.workspace, names.join(", ")));
         }
     }
     for id in &change.remove.endpoints {
--- a/crates/ochreyard-core/src/config/record.rs
+++ b/crates/ochreyard-core/src/config/record.rs
@@ -1,4 +1,4 @@
-//! Records of the configuration stream in the platform's log.
+//! Records of the configuration stream, which are stored in the platform's log.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,25 +6,25 @@
 use super::configuration::Configuration;
 use crate::ids::{EndpointId, PlanId};
 
-/// A plan as it stands in the log.
+/// A plan as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmedPlan {
-    /// Its identifier.
+    /// The identifier of the plan.
     pub plan_id: PlanId,
-    /// The version of the configuration that it was made from.
+    /// The version of the configuration that the plan was made from.
     pub base_version: u64,
-    /// What it changes.
+    /// The change that the plan makes.
     pub change: Change,
 }
 
-/// An endpoint's word that it has the configuration up to a version in force.
+/// An agent's acknowledgement that it has a version of the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HomeAck {
-    /// The endpoint.
+    /// The endpoint of the agent.
     pub endpoint: EndpointId,
-    /// Address of the agent that said so.
+    /// The address of the agent.
     pub agent_addr: std::net::SocketAddr,
-    /// The version.
+    /// The version in force.
     pub version: u64,
 }
 
@@ -32,27 +32,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// A plan that waits to be confirmed: changes nothing.
+    /// A plan that is not confirmed yet. It has no effect.
     Proposed(ConfirmedPlan),
-    /// A confirmed plan: in force from here on, unless it was overtaken.
+    /// A confirmed plan. It is in force from here on, unless it is void.
     Confirmed(ConfirmedPlan),
-    /// Endpoints that have a version in force, so that keys may move from them.
+    /// Acknowledgements of agents, which allow keys to move away from them.
     HomeAcks {
-        /// Each endpoint's word.
+        /// The acknowledgements.
         acks: Vec<HomeAck>,
     },
-    /// The state before offset `as_of`, so that older records may expire.
+    /// The state before offset `as_of`, which allows older records to expire.
     Snapshot {
-        /// The offset up to which records are in `state`.
+        /// The offset of the first record that is not included in `state`.
         as_of: u64,
-        /// The state.
+        /// The configuration at that offset.
         state: Box<Configuration>,
     },
-    /// The highest state among peers, written after the log had lost all records.
+    /// The newest state among the peers, written after the log lost all records.
     Seed {
-        /// The first offset that the writer could read.
+        /// The oldest offset that the writer could read.
         first_offset: u64,
-        /// The state.
+        /// The configuration of that peer.
         state: Box<Configuration>,
     },
 }
--- a/crates/ochreyard-core/src/config/spec.rs
+++ b/crates/ochreyard-core/src/config/spec.rs
@@ -1,4 +1,4 @@
-//! What operators state about services, workspaces, places and endpoints.
+//! Objects of the configuration as operators specify them: services, workspaces, data centres and endpoints.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,17 +8,17 @@
 
 use crate::ids::{DataCentreId, EndpointId, ServiceId, WorkspaceId};
 
-/// What kind of back end a service has.
+/// The kind of endpoint that serves a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines, called by `model` name.
+    /// Model engines, selected by the `model` in the request.
     Model,
-    /// A plain service, called by path.
+    /// A plain service, selected by the request path.
     Plain,
 }
 
-/// What part of the work an endpoint does.
+/// The phases of inference that an endpoint runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -41,18 +41,18 @@
     }
 }
 
-/// A service that callers can name.
+/// A service that callers can request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// The name of the service.
     pub service: ServiceId,
-    /// The kind of its back ends.
+    /// The kind of its endpoints.
     pub kind: ServiceKind,
-    /// Objective: the first byte of the answer within this time, in milliseconds.
+    /// Service level objective for the time to the first byte of the answer, in milliseconds.
     #[serde(default = "default_first_byte_ms")]
     pub first_byte_ms: u64,
-    /// Objective: share of requests answered whole and in time, in thousandths.
+    /// Service level objective for the share of requests that are answered completely and on time, in thousandths.
     #[serde(default = "default_objective_permille")]
     pub objective_permille: u64,
 }
@@ -65,80 +65,80 @@
     950
 }
 
-/// A customer, the services it may use and the places of its work and data.
+/// A customer, the services that it may use, and the data centres for its work and its data.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceSpec {
-    /// Its name.
+    /// The name of the workspace.
     pub workspace: WorkspaceId,
-    /// SHA-256 of its bearer token, in lower-case hexadecimal.
+    /// SHA-256 hash of its bearer token, in lower-case hexadecimal.
     pub token_sha256: String,
-    /// The services that it may use.
+    /// The services that the workspace may use.
     pub services: BTreeSet<ServiceId>,
-    /// The data centres where its work may run.
+    /// The data centres in which its requests may run.
     pub run_in: BTreeSet<DataCentreId>,
-    /// The data centres where its data may rest: queues, caches, kept answers.
+    /// The data centres in which its data may be stored: in queues, caches and stored answers.
     #[serde(default)]
     pub keep_in: BTreeSet<DataCentreId>,
 }
 
-/// What an endpoint in a place may hold of one service.
+/// The model versions and roles of one service that the endpoints of a data centre may have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Holding {
-    /// The service.
+    /// The name of the service.
     pub service: ServiceId,
-    /// The model versions; empty for a plain service.
+    /// The permitted model versions; empty for a plain service.
     #[serde(default)]
     pub model_versions: BTreeSet<String>,
-    /// The roles.
+    /// The permitted roles.
     #[serde(default)]
     pub roles: BTreeSet<Role>,
 }
 
-/// A data centre, and what its endpoints may hold.
+/// A data centre and what its endpoints may serve.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentreSpec {
-    /// Its name.
+    /// The name of the data centre.
     pub data_centre: DataCentreId,
-    /// What may be held there.
+    /// The services, model versions and roles that its endpoints may have.
     pub may_hold: Vec<Holding>,
 }
 
 impl DataCentreSpec {
-    /// Whether an endpoint as `spec` says may stand here.
+    /// Returns whether the endpoint that `spec` describes may be in this data centre.
     #[must_use]
     pub fn permits(&self, spec: &EndpointSpec, kind: ServiceKind) -> bool {
-        let holds = |holding: &Holding| match kind {
+        let permits = |holding: &Holding| match kind {
             ServiceKind::Plain => true,
             ServiceKind::Model => {
                 holding.model_versions.contains(&spec.model_version) && holding.roles.contains(&spec.role)
             }
         };
-        self.may_hold.iter().any(|holding| holding.service == spec.service && holds(holding))
+        self.may_hold.iter().any(|holding| holding.service == spec.service && permits(holding))
     }
 }
 
-/// A group of ranks behind one address, or one plain service.
+/// An endpoint: a group of ranks behind one address, or an instance of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Its name.
+    /// The name of the endpoint.
     pub endpoint: EndpointId,
-    /// The service that it runs.
+    /// The service that the endpoint runs.
     pub service: ServiceId,
-    /// Where it stands.
+    /// The data centre that the endpoint is in.
     pub data_centre: DataCentreId,
-    /// Address of its agent.
+    /// The address of its agent.
     pub agent_addr: SocketAddr,
-    /// The model version that it holds; empty for a plain service.
+    /// The model version that it serves; empty for a plain service.
     #[serde(default)]
     pub model_version: String,
-    /// The part of the work that it does.
+    /// The phases of inference that it runs.
     #[serde(default)]
     pub role: Role,
-    /// How many requests run at the same time.
+    /// The number of requests that may run at the same time.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
