--- a/crates/ochreyard-core/src/burn.rs
+++ b/crates/ochreyard-core/src/burn.rs
@@ -1,64 +1,64 @@
-//! How fast a service's error budget is spent, over a short and a long window.
+//! Burn rate of a service's error budget over a short and a long window.
 
 use std::collections::BTreeMap;
 
 use crate::error_kind::ErrorKind;
 
-/// Length of a short bucket, in milliseconds; 30 of them make the short window of 5 minutes.
+/// Length of a bucket of the short window, in milliseconds; 30 of them span 5 minutes.
 const SHORT_BUCKET_MS: u64 = 10_000;
-/// Length of a long bucket, in milliseconds; 60 of them make the long window of an hour.
+/// Length of a bucket of the long window, in milliseconds; 60 of them span an hour.
 const LONG_BUCKET_MS: u64 = 60_000;
 const SHORT_BUCKETS: usize = 30;
 const LONG_BUCKETS: usize = 60;
 
-/// Requests and failures in one window.
+/// The number of requests in a window, and how many of them missed the objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RequestCounts {
     /// All requests.
     pub requests: u32,
-    /// Those that were not answered whole and in time.
+    /// Requests that were not answered completely and on time.
     pub missed: u32,
 }
 
 #[derive(Debug, Clone)]
 struct Window<const N: usize> {
     bucket_ms: u64,
-    newest: u64,
+    newest_bucket: u64,
     buckets: [RequestCounts; N],
 }
 
 impl<const N: usize> Window<N> {
     const fn new(bucket_ms: u64) -> Self {
-        Self { bucket_ms, newest: 0, buckets: [RequestCounts { requests: 0, missed: 0 }; N] }
+        Self { bucket_ms, newest_bucket: 0, buckets: [RequestCounts { requests: 0, missed: 0 }; N] }
     }
 
     fn advance(&mut self, now_ms: u64) {
         let bucket = now_ms / self.bucket_ms;
-        let passed = bucket.saturating_sub(self.newest).min(N as u64);
-        for step in 0..passed {
-            let at = (bucket - step) as usize % N;
-            self.buckets[at] = RequestCounts::default();
+        let elapsed_buckets = bucket.saturating_sub(self.newest_bucket).min(N as u64);
+        for age in 0..elapsed_buckets {
+            let index = (bucket - age) as usize % N;
+            self.buckets[index] = RequestCounts::default();
         }
-        self.newest = self.newest.max(bucket);
+        self.newest_bucket = self.newest_bucket.max(bucket);
     }
 
     fn add(&mut self, missed: bool, now_ms: u64) {
         self.advance(now_ms);
-        let tally = &mut self.buckets[self.newest as usize % N];
-        tally.requests += 1;
-        tally.missed += u32::from(missed);
+        let counts = &mut self.buckets[self.newest_bucket as usize % N];
+        counts.requests += 1;
+        counts.missed += u32::from(missed);
     }
 
     fn sum(&mut self, now_ms: u64) -> RequestCounts {
         self.advance(now_ms);
-        self.buckets.iter().fold(RequestCounts::default(), |sum, t| RequestCounts {
-            requests: sum.requests + t.requests,
-            missed: sum.missed + t.missed,
+        self.buckets.iter().fold(RequestCounts::default(), |sum, bucket| RequestCounts {
+            requests: sum.requests + bucket.requests,
+            missed: sum.missed + bucket.missed,
         })
     }
 }
 
-/// The meter of one service and workspace.
+/// Counts the requests of one service and workspace, for the burn rate of its error budget.
 #[derive(Debug, Clone)]
 pub struct BurnMeter {
     short: Window<SHORT_BUCKETS>,
@@ -79,8 +79,7 @@
 }
 
 impl BurnMeter {
-    /// Counts a request. `failure` is its error kind; `late` says that a whole
-    /// answer missed its time.
+    /// Records a request. `failure` is its error kind; `late` says that a complete answer missed the latency target.
     pub fn record(&mut self, failure: Option<ErrorKind>, late: bool, now_ms: u64) {
         let missed = failure.is_some() || late;
         self.short.add(missed, now_ms);
@@ -91,17 +90,17 @@
         }
     }
 
-    /// Requests of the short window (5 minutes).
+    /// The counts of the short window (5 minutes).
     pub fn short_window(&mut self, now_ms: u64) -> RequestCounts {
         self.short.sum(now_ms)
     }
 
-    /// Requests of the long window (an hour).
+    /// The counts of the long window (an hour).
     pub fn long_window(&mut self, now_ms: u64) -> RequestCounts {
         self.long.sum(now_ms)
     }
 
-    /// What spent the budget since the start: error kinds, and `late`.
+    /// The number of missed requests since the start by cause: the error kind, or `late`.
     #[must_use]
     pub fn spent_by(&self) -> Vec<(String, u64)> {
         let kinds = self.spent_by.iter().map(|(kind, count)| (kind.to_string(), *count));
@@ -109,13 +108,14 @@
     }
 }
 
-/// Burn rate: 1.0 spends the budget of `objective_permille` exactly.
+/// Returns the burn rate of the error budget, which is 1.0 if the failures use up exactly the budget that
+/// `objective_permille` leaves.
 #[must_use]
-pub fn burn_rate(tally: RequestCounts, objective_permille: u64) -> f64 {
-    if tally.requests == 0 {
+pub fn burn_rate(counts: RequestCounts, objective_permille: u64) -> f64 {
+    if counts.requests == 0 {
         return 0.0;
     }
-    let missed_share = f64::from(tally.missed) / f64::from(tally.requests);
+    let missed_share = f64::from(counts.missed) / f64::from(counts.requests);
     let budget = (1000 - objective_permille.min(999)) as f64 / 1000.0;
     missed_share / budget
 }
--- a/crates/ochreyard-core/src/config/plan.rs
+++ b/crates/ochreyard-core/src/config/plan.rs
@@ -136,7 +136,11 @@
         let lost: Vec<&DataCentreId> = old.run_in.difference(&spec.run_in).collect();
         if !lost.is_empty() {
             let names: Vec<&str> = lost.iter().map(|dc| dc.as_str()).collect();
-            risks.push(format!("`{}` may no longer run in {}, which reduces its capacity", spec.workspace, names.join(", ")));
+            risks.push(format!(
+                "`{}` may no longer run in {}, which reduces its capacity",
+                spec.workspace,
+                names.join(", ")
+            ));
         }
     }
     for id in &change.remove.endpoints {
--- a/crates/ochreyard-core/src/dispatch.rs
+++ b/crates/ochreyard-core/src/dispatch.rs
@@ -1,67 +1,68 @@
-//! What an entry does with one request, attempt by attempt.
+//! Retry decisions for one request at its entry.
 
 use crate::error_kind::{ErrorKind, Refusal, Retry, RunStatus};
 use crate::ids::EndpointId;
 use crate::retry::RetryBudget;
 
-/// Attempts of one request, at the most.
+/// Maximum number of attempts of one request.
 pub const MAX_ATTEMPTS: u32 = 4;
 
-/// What comes next after a failed attempt.
+/// What the entry does after a failed attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another endpoint.
+    /// Retry at another endpoint.
     RetryElsewhere,
-    /// Give this final answer, at once.
+    /// Answer the caller with this refusal.
     GiveUp(Refusal),
 }
 
-/// The state of one request at its entry.
+/// The attempts of one request at its entry.
 #[derive(Debug, Clone)]
 pub struct Dispatch {
     repeatable: bool,
-    keyed: bool,
+    has_key: bool,
     deadline_ms: u64,
     attempts: u32,
     may_have_run: bool,
-    reached_caller: bool,
+    answer_started: bool,
     tried: Vec<EndpointId>,
 }
 
 impl Dispatch {
-    /// A request that must be answered by `deadline_ms`.
+    /// Creates the state of a request that must be answered by `deadline_ms`. `has_key` says whether it has an
+    /// idempotency key.
     #[must_use]
-    pub const fn new(repeatable: bool, keyed: bool, deadline_ms: u64) -> Self {
+    pub const fn new(repeatable: bool, has_key: bool, deadline_ms: u64) -> Self {
         Self {
             repeatable,
-            keyed,
+            has_key,
             deadline_ms,
             attempts: 0,
             may_have_run: false,
-            reached_caller: false,
+            answer_started: false,
             tried: Vec::new(),
         }
     }
 
-    /// Endpoints that have been tried.
+    /// Endpoints that attempts have been sent to.
     #[must_use]
     pub fn tried(&self) -> &[EndpointId] {
         &self.tried
     }
 
-    /// Starts an attempt and returns its running number.
+    /// Starts an attempt and returns its number, from 1.
     pub fn begin(&mut self, endpoint: &EndpointId) -> u32 {
         self.attempts += 1;
         self.tried.push(endpoint.clone());
         self.attempts
     }
 
-    /// Notes that part of the answer has been passed on.
+    /// Records that the first part of the answer was forwarded to the caller.
     pub const fn on_answer_started(&mut self) {
-        self.reached_caller = true;
+        self.answer_started = true;
     }
 
-    /// Decides after a failed attempt.
+    /// Decides whether to retry after a failed attempt.
     pub fn on_failure(&mut self, refusal: Refusal, budget: &mut RetryBudget, now_ms: u64) -> RetryDecision {
         self.may_have_run |= refusal.run != RunStatus::NotRun;
         let may_retry = match refusal.kind.rule().retry {
@@ -69,27 +70,27 @@
             Retry::Elsewhere => refusal.run == RunStatus::NotRun || self.repeatable,
             Retry::IfRepeatable => self.repeatable,
         };
-        let open = may_retry && !self.keyed && !self.reached_caller;
-        if !open || self.attempts >= MAX_ATTEMPTS || now_ms >= self.deadline_ms {
-            return RetryDecision::GiveUp(self.claim(refusal));
+        let can_retry = may_retry && !self.has_key && !self.answer_started;
+        if !can_retry || self.attempts >= MAX_ATTEMPTS || now_ms >= self.deadline_ms {
+            return RetryDecision::GiveUp(self.limit_claim(refusal));
         }
-        // A leaving endpoint is no sign of overload, so it costs no budget.
+        // A leaving endpoint is not a sign of overload, so this retry is not charged to the budget.
         if refusal.kind != ErrorKind::Leaving && !budget.try_take() {
-            return RetryDecision::GiveUp(self.claim(refusal));
+            return RetryDecision::GiveUp(self.limit_claim(refusal));
         }
         RetryDecision::RetryElsewhere
     }
 
-    /// The final answer when no endpoint is left to try. `last` is the refusal of the last attempt.
+    /// The final refusal when no other endpoint can be tried. `last` is the refusal of the last attempt.
     #[must_use]
     pub fn give_up(&self, last: Option<Refusal>) -> Refusal {
-        self.claim(last.unwrap_or_else(|| Refusal::new(ErrorKind::NoEndpoint)))
+        self.limit_claim(last.unwrap_or_else(|| Refusal::new(ErrorKind::NoEndpoint)))
     }
 
-    /// Never claims more than all attempts together prove.
-    fn claim(&self, refusal: Refusal) -> Refusal {
-        let proved_by_home = self.attempts > 0;
-        let unproved = self.may_have_run || (self.keyed && !proved_by_home);
-        if refusal.run == RunStatus::NotRun && unproved { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
+    /// Weakens a claim that the request did not run, if the attempts together do not prove it.
+    fn limit_claim(&self, refusal: Refusal) -> Refusal {
+        let was_checked_at_home = self.attempts > 0;
+        let is_unproven = self.may_have_run || (self.has_key && !was_checked_at_home);
+        if refusal.run == RunStatus::NotRun && is_unproven { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
     }
 }
--- a/crates/ochreyard-core/src/drain.rs
+++ b/crates/ochreyard-core/src/drain.rs
@@ -1,21 +1,21 @@
-//! The planned stop of a process, as a life cycle in types.
+//! Graceful shutdown of a process, as a typestate.
 //!
-//! `Serving` → `Unready` (readiness fails, work is still taken, because the
-//! balancer lags) → `Refusing` (new work is refused as not run) → `Drained`.
+//! `Serving` → `Unready` (the readiness check fails, but work is still accepted, because the upstream balancer
+//! reacts late) → `Refusing` (new work is refused as not run) → drained.
 
 use std::marker::PhantomData;
 
-/// Takes work, and says so.
+/// State: accepts work and reports ready.
 #[derive(Debug, Clone, Copy)]
 pub struct Serving;
-/// Takes work, but tells the balancer to send no more.
+/// State: accepts work, but fails the readiness check so that the upstream balancer stops sending it.
 #[derive(Debug, Clone, Copy)]
 pub struct Unready;
-/// Refuses new work and finishes the rest.
+/// State: refuses new work and finishes the work in flight.
 #[derive(Debug, Clone, Copy)]
 pub struct Refusing;
 
-/// One process on its way to a planned stop.
+/// The graceful shutdown of one process.
 #[derive(Debug, Clone, Copy)]
 pub struct Drain<Stage> {
     grace_ms: u64,
@@ -24,13 +24,13 @@
 }
 
 impl Drain<Serving> {
-    /// A process that serves. `grace_ms` is how long it goes on taking work after readiness fails.
+    /// Creates the state of a serving process. `grace_ms` is how long it accepts work after readiness fails.
     #[must_use]
     pub const fn new(grace_ms: u64) -> Self {
         Self { grace_ms, since_ms: 0, stage: PhantomData }
     }
 
-    /// Starts the planned stop.
+    /// Starts the graceful shutdown.
     #[must_use]
     pub const fn stop(self, now_ms: u64) -> Drain<Unready> {
         Drain { grace_ms: self.grace_ms, since_ms: now_ms, stage: PhantomData }
@@ -38,17 +38,17 @@
 }
 
 impl Drain<Unready> {
-    /// When new work is refused from.
+    /// Time from which new work is refused, in milliseconds.
     #[must_use]
     pub const fn refuses_from_ms(&self) -> u64 {
         self.since_ms.saturating_add(self.grace_ms)
     }
 
-    /// Moves on once the grace period has passed.
+    /// Starts to refuse new work once the grace period has passed.
     ///
     /// # Errors
     ///
-    /// The same value, while the grace period lasts.
+    /// Returns `self` unchanged during the grace period.
     pub const fn refuse(self, now_ms: u64) -> Result<Drain<Refusing>, Self> {
         if now_ms < self.refuses_from_ms() {
             return Err(self);
@@ -58,7 +58,7 @@
 }
 
 impl Drain<Refusing> {
-    /// Whether the process may exit: nothing is in flight. There is no cut-off time.
+    /// Returns whether the process may exit, which is when no request is in flight. There is no timeout.
     #[must_use]
     pub const fn is_drained(&self, in_flight: u32) -> bool {
         in_flight == 0
--- a/crates/ochreyard-core/src/error_kind.rs
+++ b/crates/ochreyard-core/src/error_kind.rs
@@ -1,4 +1,4 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! The error kinds, and the table that maps each kind to an answer.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunStatus {
-    /// It did not run and will not.
+    /// It did not run and will not run.
     NotRun,
     /// It may have run.
     MayHaveRun,
@@ -34,14 +34,14 @@
     }
 }
 
-/// Whether the entry may try again by itself.
+/// Whether the entry may retry a request by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Retry {
-    /// Another endpoint may take it.
+    /// The request may be retried at another endpoint.
     Elsewhere,
-    /// Only if the request is repeatable and nothing has reached the caller.
+    /// The request may be retried only if it is repeatable and no part of the answer has reached the caller.
     IfRepeatable,
-    /// No other try can help.
+    /// The request must not be retried.
     Never,
 }
 
@@ -50,13 +50,13 @@
 pub struct AnswerRule {
     /// HTTP status.
     pub status: u16,
-    /// What the answer claims about the run.
+    /// What the answer claims about whether the request ran.
     pub run: RunStatus,
-    /// Whether the entry may try again by itself.
+    /// Whether the entry may retry the request by itself.
     pub retry: Retry,
-    /// `Retry-After` in milliseconds when the refusing part gave none; 0 for no header.
+    /// Default `Retry-After`, in milliseconds, if the refusal names none; 0 for no header.
     pub retry_after_ms: u64,
-    /// What happened and what the caller can do, in one sentence.
+    /// What happened and what the caller can do.
     pub advice: &'static str,
 }
 
@@ -114,13 +114,14 @@
     UnknownService = "unknown_service", 404, NotRun, Never, 0, "no service has this name; check `model` or the path";
     /// No permitted endpoint can be reached now.
     NoEndpoint = "no_endpoint", 503, NotRun, Never, 1000, "no endpoint in the permitted data centres can take it now; come back later";
-    /// The endpoint has no room.
+    /// The endpoint has no free capacity.
     Overloaded = "overloaded", 503, NotRun, Elsewhere, 1000, "the endpoint is full; come back later";
-    /// The workspace has used up its room at the endpoint.
+    /// The workspace has reached its limit of queued requests at the endpoint.
     WorkspaceOverLimit = "workspace_over_limit", 429, NotRun, Elsewhere, 1000, "the workspace has too much waiting; come back later";
     /// The endpoint or the box is leaving.
     Leaving = "leaving", 503, NotRun, Elsewhere, 1000, "the endpoint is leaving; come back at once through another";
-    /// The agent holds no configuration that permits this, or another life of the agent was meant.
+    /// The agent's configuration does not permit this yet, or the offer was addressed to another incarnation of the
+    /// agent.
     Stale = "stale", 503, NotRun, Elsewhere, 500, "the configuration is being brought up to date; come back shortly";
     /// The attempt was revoked before it started.
     Revoked = "revoked", 503, NotRun, Elsewhere, 500, "the attempt was withdrawn before it started; come back shortly";
@@ -128,43 +129,43 @@
     KeyHomeMoving = "key_home_moving", 503, NotRun, Never, 1000, "the home of this idempotency key is moving; send it again with the same key";
     /// The key's home cannot be reached.
     KeyHomeUnreachable = "key_home_unreachable", 503, MayHaveRun, Never, 2000, "the home of this idempotency key cannot be reached; send it again with the same key";
-    /// It cannot be shown that the key has not run.
+    /// An earlier run of the key cannot be ruled out.
     KeyUnproven = "key_unproven", 409, MayHaveRun, Never, 0, "a run before a restart cannot be ruled out; check before sending it under a new key";
-    /// No room for another key.
+    /// The key store is full.
     KeyStoreFull = "key_store_full", 503, NotRun, Never, 5000, "no room to remember another key; come back later";
     /// The key is running now.
     KeyInFlight = "key_in_flight", 409, MayHaveRun, Never, 1000, "the same key is running now; come back for its answer";
-    /// The key has run, and its answer was not kept.
+    /// The key has run, and its answer was not stored.
     AlreadyRan = "already_ran", 409, Ran, Never, 0, "the request with this key has run; its answer was not kept";
-    /// The key came with another request before.
+    /// The key was used for another request before.
     KeyReused = "key_reused", 422, NotRun, Never, 0, "this key was used for another request; use a new key";
-    /// The endpoint answered with a failure or broke off.
+    /// The endpoint answered with a failure or broke off its answer.
     EndpointFailed = "endpoint_failed", 502, MayHaveRun, IfRepeatable, 500, "the endpoint failed while it had the request";
-    /// The endpoint could not be connected to, so it never had the request.
+    /// The connection to the endpoint could not be established, so it never received the request.
     EndpointDown = "endpoint_down", 503, NotRun, Elsewhere, 1000, "the endpoint cannot be reached; come back later";
-    /// The agent was lost after the request had been handed over.
+    /// The connection to the agent was lost after the request had been sent.
     ConnectionLost = "connection_lost", 502, MayHaveRun, IfRepeatable, 500, "the connection was lost after the request was handed over";
-    /// Frames of the answer are missing, doubled or damaged.
+    /// Frames of the answer are missing, duplicated or damaged.
     AnswerBroken = "answer_broken", 502, MayHaveRun, IfRepeatable, 500, "the answer did not arrive whole";
-    /// The deadline passed before the start.
+    /// The deadline passed before the request started.
     DeadlineBeforeStart = "deadline_before_start", 504, NotRun, Never, 1000, "the deadline would pass before it could run; come back later";
-    /// The deadline passed during the run.
+    /// The deadline passed while the request ran.
     DeadlineExceeded = "deadline_exceeded", 504, MayHaveRun, Never, 1000, "the deadline passed while it ran";
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone = "caller_gone", 499, MayHaveRun, Never, 0, "the caller went away";
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudgetSpent = "retry_budget_spent", 503, NotRun, Never, 2000, "too many requests fail at present; come back later";
-    /// The request crashed the endpoints that ran it, or a copy of it is being tried.
+    /// Endpoints crashed while they ran this request, or another copy of it is running as a trial.
     Quarantined = "quarantined", 503, NotRun, Never, 600_000, "endpoints crashed while they ran this request; change it, or come back after the stated time";
-    /// The platform's service cannot be reached.
+    /// The platform's log service cannot be reached.
     PlatformUnavailable = "platform_unavailable", 503, MayHaveRun, Never, 2000, "the platform's log cannot be reached; ask for the status, then try again";
-    /// The intent or a record cannot be read.
+    /// The intent or a record cannot be parsed.
     BadIntent = "bad_intent", 400, NotRun, Never, 0, "the intent has faults; mend the named fields";
-    /// Something that the plan touches has changed since.
+    /// An object that the plan writes or refers to has changed since the plan was made.
     PlanOvertaken = "plan_overtaken", 409, NotRun, Never, 0, "make a new plan from the present configuration";
     /// No plan has this identifier.
     PlanUnknown = "plan_unknown", 404, NotRun, Never, 0, "no plan has this identifier, or it has expired; make a new one";
-    /// A fault in the system itself.
+    /// A bug in ochreyard.
     Internal = "internal", 500, MayHaveRun, Never, 0, "a fault in ochreyard; please report it";
 }
 
@@ -174,42 +175,42 @@
     }
 }
 
-/// One refusal: its kind, and when the caller should come back.
+/// A refusal of a request: its kind, what it claims about the run, and when to retry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What went wrong.
+    /// The kind of error.
     pub kind: ErrorKind,
-    /// What is claimed about the run. Weaker than the rule's claim where the rule's is not proved.
+    /// What is claimed about whether the request ran. Weaker than the claim of the rule if that is not proven.
     pub run: RunStatus,
-    /// When to come back, in milliseconds; 0 for no advice.
+    /// How long the caller should wait before a retry, in milliseconds; 0 for no advice.
     pub retry_after_ms: u64,
-    /// Which part of the request or state is meant.
+    /// The part of the request or state that the refusal is about; may be empty.
     pub detail: String,
 }
 
 impl Refusal {
-    /// A refusal as the table has it.
+    /// Creates a refusal with the defaults of the table.
     #[must_use]
     pub fn new(kind: ErrorKind) -> Self {
         let rule = kind.rule();
         Self { kind, run: rule.run, retry_after_ms: rule.retry_after_ms, detail: String::new() }
     }
 
-    /// Sets when to come back.
+    /// Sets how long the caller should wait before a retry.
     #[must_use]
     pub const fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Self {
         self.retry_after_ms = retry_after_ms;
         self
     }
 
-    /// Adds which part is meant.
+    /// Sets the part of the request or state that the refusal is about.
     #[must_use]
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Replaces the claim about the run.
+    /// Sets the claim about whether the request ran.
     #[must_use]
     pub const fn with_run(mut self, run: RunStatus) -> Self {
         self.run = run;
--- a/crates/ochreyard-core/src/frame.rs
+++ b/crates/ochreyard-core/src/frame.rs
@@ -1,14 +1,14 @@
-//! Frames of an answer, and the check that an answer is whole.
+//! The frames of an answer, and the check that an answer is complete.
 
 use serde::{Deserialize, Serialize};
 
 use crate::hash;
 use crate::ids::AttemptId;
 
-/// What a frame carries.
+/// The content of a frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FrameBody {
-    /// Status and content type of the answer: always the first frame.
+    /// Status and content type of the answer. This is always the first frame.
     Head {
         /// HTTP status.
         status: u16,
@@ -17,7 +17,7 @@
     },
     /// A part of the body.
     Data(Vec<u8>),
-    /// The end: what must have arrived before it.
+    /// The end of the answer, which states what must have arrived before it.
     End {
         /// Number of frames before this one.
         frames: u64,
@@ -29,22 +29,22 @@
 /// One numbered part of the answer to one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The attempt that this answers.
+    /// The attempt that the frame is an answer to.
     pub attempt: AttemptId,
-    /// Running number from 0.
+    /// Sequence number from 0.
     pub number: u64,
-    /// What it carries.
+    /// The content of the frame.
     pub body: FrameBody,
 }
 
-/// Running count and checksum, the same at the sender and the receiver.
+/// Number of frames and checksum so far, kept by both the sender and the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct Tally {
+struct FrameTotals {
     frames: u64,
     checksum: u64,
 }
 
-impl Tally {
+impl FrameTotals {
     fn add(&mut self, body: &FrameBody) {
         match body {
             FrameBody::Head { status, content_type } => {
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone)]
 pub struct FrameWriter {
     attempt: AttemptId,
-    tally: Tally,
+    totals: FrameTotals,
 }
 
 impl FrameWriter {
@@ -70,46 +70,46 @@
     #[must_use]
     pub fn new(attempt: AttemptId) -> Self {
         let seed = hash::fnv1a(attempt.to_string().as_bytes());
-        Self { attempt, tally: Tally { frames: 0, checksum: seed } }
+        Self { attempt, totals: FrameTotals { frames: 0, checksum: seed } }
     }
 
-    /// The next frame with this body.
+    /// Creates the next frame, with this content.
     pub fn frame(&mut self, body: FrameBody) -> Frame {
-        let number = self.tally.frames;
-        self.tally.add(&body);
+        let number = self.totals.frames;
+        self.totals.add(&body);
         Frame { attempt: self.attempt, number, body }
     }
 
-    /// The last frame.
+    /// Creates the last frame.
     #[must_use]
     pub fn end(self) -> Frame {
-        let body = FrameBody::End { frames: self.tally.frames, checksum: self.tally.checksum };
-        Frame { attempt: self.attempt, number: self.tally.frames, body }
+        let body = FrameBody::End { frames: self.totals.frames, checksum: self.totals.checksum };
+        Frame { attempt: self.attempt, number: self.totals.frames, body }
     }
 }
 
-/// Why the answer cannot be whole.
+/// Why an answer can no longer be complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A frame is missing before this one.
-    #[error("a frame is missing")]
+    /// One or more frames before this one are missing.
+    #[error("one or more frames are missing")]
     Gap,
-    /// The head is not the first frame, or came twice.
-    #[error("the head is out of place")]
+    /// The first frame is not a head, or a later one is.
+    #[error("the head is not the first frame, or is repeated")]
     HeadOutOfPlace,
-    /// Count or checksum differ at the end.
-    #[error("the end does not match what arrived")]
+    /// The number of frames or the checksum in the end frame does not match the received frames.
+    #[error("the end frame does not match the number and checksum of the received frames")]
     EndMismatch,
 }
 
 /// What to do with a frame that has arrived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameAction {
-    /// Pass it on.
+    /// Forward its content to the caller.
     Forward(FrameBody),
-    /// The answer is whole: end the caller's body.
+    /// The answer is complete: end the body to the caller.
     Complete,
-    /// Stale, repeated or of another attempt: drop and count it.
+    /// The frame is stale, a duplicate or of another attempt: drop and count it.
     Drop,
 }
 
@@ -117,52 +117,52 @@
 #[derive(Debug, Clone)]
 pub struct FrameReader {
     attempt: AttemptId,
-    tally: Tally,
-    whole: bool,
+    totals: FrameTotals,
+    complete: bool,
 }
 
 impl FrameReader {
-    /// Expects the answer to `attempt`.
+    /// Creates a reader of the answer to `attempt`.
     #[must_use]
     pub fn new(attempt: AttemptId) -> Self {
-        Self { attempt, tally: FrameWriter::new(attempt).tally, whole: false }
+        Self { attempt, totals: FrameWriter::new(attempt).totals, complete: false }
     }
 
-    /// Takes one frame.
+    /// Checks a received frame.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] when the answer can no longer become whole.
+    /// Returns a [`FrameError`] if the answer can no longer become complete.
     pub fn accept(&mut self, frame: Frame) -> Result<FrameAction, FrameError> {
-        let foreign = frame.attempt != self.attempt;
-        if foreign || self.whole || frame.number < self.tally.frames {
+        let is_foreign = frame.attempt != self.attempt;
+        if is_foreign || self.complete || frame.number < self.totals.frames {
             return Ok(FrameAction::Drop);
         }
-        if frame.number > self.tally.frames {
+        if frame.number > self.totals.frames {
             return Err(FrameError::Gap);
         }
         if let FrameBody::End { frames, checksum } = frame.body {
-            return self.finish(Tally { frames, checksum });
+            return self.finish(FrameTotals { frames, checksum });
         }
         let is_head = matches!(frame.body, FrameBody::Head { .. });
         if is_head != (frame.number == 0) {
             return Err(FrameError::HeadOutOfPlace);
         }
-        self.tally.add(&frame.body);
+        self.totals.add(&frame.body);
         Ok(FrameAction::Forward(frame.body))
     }
 
-    fn finish(&mut self, claimed: Tally) -> Result<FrameAction, FrameError> {
-        if claimed != self.tally || claimed.frames == 0 {
+    fn finish(&mut self, claimed: FrameTotals) -> Result<FrameAction, FrameError> {
+        if claimed != self.totals || claimed.frames == 0 {
             return Err(FrameError::EndMismatch);
         }
-        self.whole = true;
+        self.complete = true;
         Ok(FrameAction::Complete)
     }
 
-    /// Whether the whole answer has arrived and checked out.
+    /// Returns whether the answer has arrived completely and its checksum matched.
     #[must_use]
     pub const fn is_complete(&self) -> bool {
-        self.whole
+        self.complete
     }
 }
--- a/crates/ochreyard-core/src/hash.rs
+++ b/crates/ochreyard-core/src/hash.rs
@@ -1,6 +1,6 @@
-//! Hashes that give the same number in every process and version.
+//! Hash functions whose results are the same in every process and version.
 //!
-//! They spread keys; they are no protection against forgery.
+//! The 64-bit hashes distribute keys; they do not protect against forgery.
 
 use sha2::{Digest, Sha256};
 
@@ -28,7 +28,7 @@
     z ^ (z >> 31)
 }
 
-/// SHA-256 of a secret as lower-case hexadecimal: what the configuration holds in its place.
+/// SHA-256 hash of a secret in lower-case hexadecimal, which the configuration stores instead of the secret.
 #[must_use]
 pub fn sha256_hex(secret: &str) -> String {
     Sha256::digest(secret.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/ochreyard-core/src/ids.rs
+++ b/crates/ochreyard-core/src/ids.rs
@@ -1,30 +1,30 @@
-//! Names and numbers that identify things, each with a type of its own.
+//! Identifiers, each with its own type.
 
 use std::borrow::Borrow;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name that is accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// A name that does not keep to the rules.
+/// An error for a name that breaks the rules of [`check_name`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{name}` is not a name: use 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-' and '.'")]
 pub struct InvalidName {
-    /// The text that was given.
+    /// The rejected text, cut off after the maximum length plus one character.
     pub name: String,
 }
 
-/// Checks the rules that all names share.
+/// Checks that a name has the permitted length and characters.
 ///
 /// # Errors
 ///
-/// [`InvalidName`] when the text is empty, too long, or has other characters.
+/// Returns [`InvalidName`] if the name is empty, too long, or has other characters than a-z, 0-9, `-` and `.`.
 pub fn check_name(name: &str) -> Result<(), InvalidName> {
-    let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.';
-    let fits = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
-    if fits && name.bytes().all(allowed) {
+    let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.';
+    let has_valid_length = !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+    if has_valid_length && name.bytes().all(is_allowed) {
         return Ok(());
     }
     Err(InvalidName { name: name.chars().take(MAX_NAME_BYTES + 1).collect() })
@@ -66,23 +66,23 @@
 }
 
 name_type!(
-    /// One machine that runs a process of the system.
+    /// A box: one machine that runs a process of the system.
     BoxId
 );
 name_type!(
-    /// A data centre: the place where work runs and data rests.
+    /// A data centre, in which requests run and data is stored.
     DataCentreId
 );
 name_type!(
-    /// A customer: the unit of permission and of fair share.
+    /// A workspace: a customer, for which permissions and fair shares apply.
     WorkspaceId
 );
 name_type!(
-    /// A service that callers name in a request.
+    /// A service that callers request.
     ServiceId
 );
 name_type!(
-    /// A back end: a group of ranks behind one address, or a plain service.
+    /// An endpoint: a group of ranks behind one address, or a plain service.
     EndpointId
 );
 name_type!(
@@ -90,7 +90,7 @@
     PlanId
 );
 
-/// One life of a process: a restart has a higher number.
+/// The incarnation of a process. It is higher after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -104,16 +104,16 @@
 /// One attempt to run one request on one endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The life of the entry process that made the attempt.
+    /// The incarnation of the entry process that made the attempt.
     pub entry: Incarnation,
-    /// Running number of the request within that life.
+    /// Sequence number of the request within that incarnation.
     pub request: u64,
-    /// Running number of the attempt within the request, from 1.
+    /// Number of the attempt within the request, from 1.
     pub attempt: u32,
 }
 
 impl AttemptId {
-    /// Builds an identifier from its three parts.
+    /// Creates an identifier from its three parts.
     #[must_use]
     pub const fn new(entry: Incarnation, request: u64, attempt: u32) -> Self {
         Self { entry, request, attempt }
--- a/crates/ochreyard-core/src/lib.rs
+++ b/crates/ochreyard-core/src/lib.rs
@@ -1,15 +1,14 @@
-//! All decisions of ochreyard, without input or output.
+//! The decision logic of ochreyard, without input or output.
 //!
-//! Every type here is a plain value or a state machine that takes an event and
-//! the present time, and returns what is to be done. Nothing in this package
-//! opens a socket, reads a clock, starts a thread or draws a random number, so
-//! the same events give the same actions on every run.
+//! Every type here is a plain value or a state machine that takes an event and the current time, and returns the
+//! actions to take. Nothing in this package opens a socket, reads a clock, starts a thread or draws a random
+//! number, so the same events lead to the same actions on every run.
 //!
-//! Times are milliseconds in `u64`, handed in by the caller of each function.
+//! Times are milliseconds in `u64`, passed in by the caller of each function.
 //!
 //! # Examples
 //!
-//! An agent admits a request, and the request ends:
+//! An agent without a configuration refuses every offer:
 //!
 //! ```
 //! use ochreyard_core::admission::{Admission, AdmissionAction, AdmissionSettings, Offer};
@@ -18,7 +17,6 @@
 //! let settings = AdmissionSettings::new("kiosk-1", "nantou-1").with_slots(2);
 //! let mut admission = Admission::new(settings, Incarnation(7), 0);
 //! let attempt = AttemptId::new(Incarnation(1), 1, 1);
-//! // Without a configuration nothing is permitted, so the offer is refused.
 //! let offer = Offer::new(attempt, Incarnation(7), "resort-a", "trail-map");
 //! let actions = admission.offer(offer, 10);
 //! assert!(matches!(actions[0], AdmissionAction::Refuse { .. }));
--- a/crates/ochreyard-core/src/membership.rs
+++ b/crates/ochreyard-core/src/membership.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the agents: heartbeats, incarnations, suspicion.
+//! An entry's view of the agents: their heartbeats, incarnations and health.
 
 use std::collections::BTreeMap;
 
@@ -6,48 +6,48 @@
 
 use crate::ids::{EndpointId, Incarnation};
 
-/// What an agent says of itself in answer to a heartbeat.
+/// The status that an agent reports in answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AgentReport {
-    /// The life of the agent.
+    /// The incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Running number of the report within that life.
+    /// Sequence number of the report within that incarnation.
     pub number: u64,
-    /// The version of the configuration in force there.
+    /// The version of the configuration that the agent has in force.
     pub config_version: u64,
-    /// Whether it knows that its configuration was the log's newest after its start.
+    /// Whether it has been confirmed since the agent's start that its configuration was the newest in the log.
     pub tail_verified: bool,
-    /// Whether it refuses new work.
+    /// Whether the agent is leaving and refuses new work.
     pub leaving: bool,
-    /// Requests that run there, from all entries.
+    /// Running requests, from all entries.
     pub running: u32,
-    /// Requests that wait there, from all entries.
+    /// Queued requests, from all entries.
     pub waiting: u32,
     /// Requests that may run at the same time.
     pub slots: u32,
-    /// Mean time of a run, in milliseconds.
+    /// Mean run time of a request, in milliseconds.
     pub mean_run_ms: u64,
-    /// Time of one step of the group, in microseconds; 0 when unknown.
+    /// Duration of one step of the group, in microseconds; 0 if unknown.
     pub step_us: u64,
 }
 
-/// How an agent looks from here.
+/// The health of an agent as judged by one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// Heard of lately.
+    /// The agent has reported recently.
     Alive,
-    /// Late: used only where no other can serve.
+    /// The agent's report is late. It is used only if no agent is alive.
     Suspect,
-    /// Not heard of for long, or its connection broke.
+    /// The agent has not reported for long, or its connection was lost.
     Down,
 }
 
-/// How long silence lasts until an agent is suspected or taken for down.
+/// How long after its last report an agent becomes suspect or down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatTimeouts {
-    /// Silence before suspicion, in milliseconds.
+    /// Time without a report until the agent is suspect, in milliseconds.
     pub suspect_after_ms: u64,
-    /// Silence before it counts as down, in milliseconds.
+    /// Time without a report until the agent is down, in milliseconds.
     pub down_after_ms: u64,
 }
 
@@ -57,40 +57,41 @@
     }
 }
 
-/// One agent as an entry sees it.
+/// An entry's record of one agent.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Member {
-    /// Its last report.
+    /// The last report of the agent.
     pub report: AgentReport,
-    /// When that came, in milliseconds.
+    /// When the last report arrived, in milliseconds.
     pub last_report_ms: u64,
-    /// When this life of it was first met, in milliseconds.
+    /// When the first report of this incarnation arrived, in milliseconds.
     pub first_seen_ms: u64,
-    /// Whether its connection has broken since.
+    /// Whether the connection was lost after the last report.
     pub connection_broken: bool,
-    /// Whether the platform's list calls its box leaving.
+    /// Whether the platform's list marks the box of the agent as leaving.
     pub listed_leaving: bool,
 }
 
-/// All agents that an entry has met.
+/// All agents that have reported to an entry.
 #[derive(Debug, Clone, Default)]
 pub struct Membership {
-    limits: HeartbeatTimeouts,
+    timeouts: HeartbeatTimeouts,
     members: BTreeMap<EndpointId, Member>,
 }
 
 impl Membership {
-    /// An entry that has met nobody.
+    /// Creates the view of an entry that has received no report.
     #[must_use]
-    pub const fn new(limits: HeartbeatTimeouts) -> Self {
-        Self { limits, members: BTreeMap::new() }
+    pub const fn new(timeouts: HeartbeatTimeouts) -> Self {
+        Self { timeouts, members: BTreeMap::new() }
     }
 
-    /// Takes a report. A late one, from an earlier life or with a lower number, is dropped.
+    /// Records a report. Returns `false` and drops it if it is from an earlier incarnation, or of the same one with
+    /// no higher sequence number.
     pub fn on_report(&mut self, endpoint: &EndpointId, report: AgentReport, now_ms: u64) -> bool {
         let member = self.members.entry(endpoint.clone()).or_default();
-        let old = (member.report.incarnation, member.report.number);
-        if (report.incarnation, report.number) <= old {
+        let last = (member.report.incarnation, member.report.number);
+        if (report.incarnation, report.number) <= last {
             return false;
         }
         if report.incarnation != member.report.incarnation {
@@ -102,63 +103,63 @@
         true
     }
 
-    /// Notes that the connection to an agent broke.
+    /// Records that the connection to an agent was lost.
     pub fn on_connection_lost(&mut self, endpoint: &EndpointId) {
         if let Some(member) = self.members.get_mut(endpoint) {
             member.connection_broken = true;
         }
     }
 
-    /// Notes that an agent refused work because it leaves.
+    /// Records that an agent refused work because it is leaving.
     pub fn on_leaving(&mut self, endpoint: &EndpointId) {
         if let Some(member) = self.members.get_mut(endpoint) {
             member.report.leaving = true;
         }
     }
 
-    /// Takes the platform's lagging list: the endpoints whose boxes it calls leaving.
+    /// Records which endpoints the platform's list, which may lag, marks as leaving.
     pub fn on_listed_leaving(&mut self, leaving: &[EndpointId]) {
         for (endpoint, member) in &mut self.members {
             member.listed_leaving = leaving.contains(endpoint);
         }
     }
 
-    /// Forgets agents that the configuration no longer names.
+    /// Removes the agents of endpoints for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&EndpointId) -> bool) {
         self.members.retain(|endpoint, _| keep(endpoint));
     }
 
-    /// One agent.
+    /// The record of one agent.
     #[must_use]
     pub fn member(&self, endpoint: &EndpointId) -> Option<&Member> {
         self.members.get(endpoint)
     }
 
-    /// All agents.
+    /// The records of all agents.
     pub fn members(&self) -> impl Iterator<Item = (&EndpointId, &Member)> {
         self.members.iter()
     }
 
-    /// How an agent looks at `now_ms`.
+    /// The health of an agent at `now_ms`.
     #[must_use]
     pub fn health(&self, endpoint: &EndpointId, now_ms: u64) -> Health {
         let Some(member) = self.members.get(endpoint) else {
             return Health::Down;
         };
         let silence_ms = now_ms.saturating_sub(member.last_report_ms);
-        if member.connection_broken || silence_ms >= self.limits.down_after_ms {
+        if member.connection_broken || silence_ms >= self.timeouts.down_after_ms {
             Health::Down
-        } else if silence_ms >= self.limits.suspect_after_ms {
+        } else if silence_ms >= self.timeouts.suspect_after_ms {
             Health::Suspect
         } else {
             Health::Alive
         }
     }
 
-    /// Whether new work may be sent there.
+    /// Returns whether new work may be sent to the agent.
     #[must_use]
     pub fn accepts_work(&self, endpoint: &EndpointId, now_ms: u64) -> bool {
-        let stays = self.members.get(endpoint).is_some_and(|m| !m.report.leaving && !m.listed_leaving);
-        stays && self.health(endpoint, now_ms) < Health::Down
+        let is_staying = self.members.get(endpoint).is_some_and(|m| !m.report.leaving && !m.listed_leaving);
+        is_staying && self.health(endpoint, now_ms) < Health::Down
     }
 }
--- a/crates/ochreyard-core/src/retry.rs
+++ b/crates/ochreyard-core/src/retry.rs
@@ -1,42 +1,41 @@
-//! A budget that keeps retries to a share of the requests.
+//! A retry budget, which limits retries to a share of the requests.
 
-/// Tokens in thousandths, so that shares need no floating point.
-const TOKEN: u64 = 1000;
+/// One retry, in thousandths, so that shares need no floating point.
+const RETRY_PERMILLE: u64 = 1000;
 
-/// Allows retries up to a share of the requests seen, plus a small reserve.
+/// Allows retries up to a share of the requests, plus a small reserve.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share_permille: u64,
-    cap: u64,
-    balance: u64,
+    cap_permille: u64,
+    balance_permille: u64,
 }
 
 impl RetryBudget {
-    /// A budget of `share_permille` retries for each thousand requests, with a
-    /// reserve of `reserve` retries.
+    /// Creates a budget of `share_permille` retries for each thousand requests, with a reserve of `reserve` retries.
     #[must_use]
     pub const fn new(share_permille: u64, reserve: u64) -> Self {
-        Self { share_permille, cap: reserve * TOKEN, balance: reserve * TOKEN }
+        Self { share_permille, cap_permille: reserve * RETRY_PERMILLE, balance_permille: reserve * RETRY_PERMILLE }
     }
 
-    /// Counts one new request.
+    /// Records a new request.
     pub fn on_request(&mut self) {
-        self.balance = (self.balance + self.share_permille).min(self.cap);
+        self.balance_permille = (self.balance_permille + self.share_permille).min(self.cap_permille);
     }
 
-    /// Takes one retry, or says that none is left.
+    /// Takes one retry from the budget. Returns `false` if none is left.
     #[must_use]
     pub fn try_take(&mut self) -> bool {
-        let Some(rest) = self.balance.checked_sub(TOKEN) else {
+        let Some(rest) = self.balance_permille.checked_sub(RETRY_PERMILLE) else {
             return false;
         };
-        self.balance = rest;
+        self.balance_permille = rest;
         true
     }
 }
 
 impl Default for RetryBudget {
-    /// One retry for each ten requests, with a reserve of 20.
+    /// Creates a budget of one retry for each ten requests, with a reserve of 20 retries.
     fn default() -> Self {
         Self::new(100, 20)
     }
--- a/crates/ochreyard-core/src/retry_after.rs
+++ b/crates/ochreyard-core/src/retry_after.rs
@@ -1,27 +1,28 @@
-//! Reads the time that a peer names in `Retry-After`.
+//! Parses the `Retry-After` header of an answer.
 
-/// Longer times count as this one, in milliseconds: an hour. A peer that names more has most likely
-/// mistaken the unit, and must not be lost for good by it.
+/// Upper bound on a parsed time, in milliseconds. A peer that names more than an hour has most likely mistaken the
+/// unit, and must not be excluded for that long.
 pub const MAX_RETRY_AFTER_MS: u64 = 3_600_000;
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// Why a `Retry-After` names no time.
+/// Why a `Retry-After` value could not be parsed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ParseRetryAfterError {
-    /// It is no number: a date, which the clocks of two machines need not agree on, or anything else.
-    #[error("not a number of seconds")]
+    /// The value is not a number. Dates are not supported, because the clocks of two machines may differ.
+    #[error("Retry-After is not a number of seconds")]
     NotSeconds,
-    /// It is below zero.
-    #[error("below zero")]
+    /// The value is negative.
+    #[error("Retry-After is negative")]
     Negative,
 }
 
-/// The milliseconds that `value` names in seconds, with or without a fraction, rounded up.
+/// Parses a number of seconds, with or without a fraction, and returns it in milliseconds, rounded up and at most
+/// [`MAX_RETRY_AFTER_MS`].
 ///
 /// # Errors
 ///
-/// When it names no time from now on.
+/// Returns a [`ParseRetryAfterError`] if `value` is not a number or is negative.
 ///
 /// # Examples
 ///
