--- a/crates/ochreyard-direct/src/entry/identity.rs
+++ b/crates/ochreyard-direct/src/entry/identity.rs
@@ -1,6 +1,6 @@
 //! Who a process is.
 
-use ochreyard_core::direct::{BoxRecord, Own};
+use ochreyard_core::direct::{BoxRecord, LocalBox};
 
 /// Who this process is.
 #[derive(Debug, Clone)]
@@ -10,7 +10,7 @@
     /// The data centre that it stands in.
     pub data_centre: String,
     /// A number that no other life of any box has.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it says of itself to other boxes.
     pub record: BoxRecord,
 }
@@ -18,7 +18,7 @@
 impl Identity {
     /// This box, as it looks for its duty among all boxes.
     #[must_use]
-    pub fn own(&self) -> Own<'_> {
-        Own { name: &self.name, data_centre: &self.data_centre }
+    pub fn own(&self) -> LocalBox<'_> {
+        LocalBox { name: &self.name, data_centre: &self.data_centre }
     }
 }
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -10,7 +10,8 @@
 
 use http::Response;
 use ochreyard_core::direct::{
-    Arrival, EndpointLife, Fingerprint, Homes, LostRequest, Outcome, Pick, Route, RouteKind, WaitFacts,
+    AllowedRegions, Arrival, AttemptOutcome, EndpointIncarnation, Fingerprint, LostRequest, Pick, Route, RouteKind,
+    WaitFacts,
 };
 
 use crate::answer::{Answer, pass_on};
@@ -46,7 +47,7 @@
     /// The service that serves it.
     pub service: String,
     /// Where it may run.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// The bytes of its body.
     pub _held_body: HeldBytes<D>,
     /// The request itself.
@@ -70,7 +71,7 @@
     /// Attempts that were refused because the whole group stood.
     pub refused_by_stands: usize,
     /// Lives of endpoints that were tried.
-    pub tried: Vec<EndpointLife>,
+    pub tried: Vec<EndpointIncarnation>,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
     /// What tells that this request comes again, once that was asked for.
@@ -170,8 +171,8 @@
     pub fn should_leave(&self, pick: &Pick) -> bool {
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
-        state.pool.should_leave(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
-            && state.budget.has_one(&self.service, now_ms)
+        state.pool.should_migrate(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
     }
 
     /// Counts an attempt. An endpoint that was not reached never had the request. Where the
@@ -187,7 +188,7 @@
             return;
         }
         self.sent += u64::from(was_reached);
-        self.tried.push(pick.life());
+        self.tried.push(pick.incarnation());
     }
 
     fn stands(&self) -> bool {
@@ -202,12 +203,12 @@
         let body = match tokio::time::timeout(wait, held.take(&mut answer.body, MAX_ANSWER_BYTES)).await {
             Ok(Ok(body)) => body,
             Ok(Err(NotTaken::BrokenOff(error))) => {
-                answer.flight.set(Outcome::Failed);
+                answer.flight.set(AttemptOutcome::Failed);
                 self.note_lost_attempt(&answer.pick, &format!("answer broke off: {error}")).await;
                 return None;
             }
             Ok(Err(cause)) => {
-                answer.flight.set(Outcome::Failed);
+                answer.flight.set(AttemptOutcome::Failed);
                 self.note_failed_attempt(&answer.pick, &format!("answer not taken: {cause}"));
                 return None;
             }
@@ -217,7 +218,7 @@
             }
         };
         let failed = answer.head.status.is_server_error();
-        answer.flight.set(if failed { Outcome::Failed } else { Outcome::Good });
+        answer.flight.set(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success });
         if !failed {
             self.note_served();
         }
@@ -238,7 +239,7 @@
         self.end.on_served();
         let took_ms = self.entry.clock.now_ms().saturating_sub(self.attempt_started_ms);
         let mut state = self.entry.state.borrow_mut();
-        state.queue(&self.service).time.note(took_ms);
+        state.queue(&self.service).service_time.record(took_ms);
         let is_any_suspected = !state.quarantine.is_empty();
         drop(state);
         if is_any_suspected {
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Choice, Clearance, EndpointPool, NoPick, Pick, Seeker};
+use ochreyard_core::direct::{DispatchDecision, EndpointPool, PendingRequest, Pick, PickError, QuarantineDecision};
 
 use super::Job;
 use crate::dialect::Dialect;
@@ -89,15 +89,15 @@
         }
         let entry = Rc::clone(&self.entry);
         let mut state = entry.state.borrow_mut();
-        if self.has_arrived && !state.budget.has_one(&self.service, now_ms) {
+        if self.has_arrived && !state.budget.has_retry(&self.service, now_ms) {
             return Err(GivenUp::Budget.into());
         }
         let boxes = state.boxes.len() as u64 + 1;
-        let seeker = Seeker { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
+        let seeker = PendingRequest { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.choose(pool, boxes, &seeker, entry.draw(), now_ms) {
-            Choice::Go(pick) => {
+        match queue.decide(pool, boxes, &seeker, entry.next_random(), now_ms) {
+            DispatchDecision::Send(pick) => {
                 if self.has_arrived && state.budget.try_take(&self.service, now_ms) {
                     meters::on_repeat(&self.service);
                 }
@@ -108,11 +108,11 @@
                 }
                 Ok(pick)
             }
-            Choice::Wait(facts) => {
+            DispatchDecision::Wait(facts) => {
                 self.last_facts = Some(facts);
                 Err(NotPicked::Wait)
             }
-            Choice::GiveUp(facts) => {
+            DispatchDecision::GiveUp(facts) => {
                 self.last_facts = Some(facts);
                 Err(given_up(facts.no_pick, last, now_ms).into())
             }
@@ -129,21 +129,21 @@
         if state.quarantine.is_empty() {
             return Ok(false);
         }
-        match state.quarantine.clearance(self.fingerprint(), now_ms) {
-            Clearance::Free => Ok(false),
-            Clearance::Trial if self.may_have_run => Err(GivenUp::Failed),
-            Clearance::Trial => Ok(true),
-            Clearance::OnTrial { .. } if self.is_tried => Ok(false),
-            Clearance::OnTrial { left_ms } | Clearance::Quarantined { left_ms } => {
+        match state.quarantine.decision(self.fingerprint(), now_ms) {
+            QuarantineDecision::Allow => Ok(false),
+            QuarantineDecision::AllowAsTrial if self.may_have_run => Err(GivenUp::Failed),
+            QuarantineDecision::AllowAsTrial => Ok(true),
+            QuarantineDecision::WaitForTrial { .. } if self.is_tried => Ok(false),
+            QuarantineDecision::WaitForTrial { left_ms } | QuarantineDecision::Refuse { left_ms } => {
                 Err(GivenUp::Quarantined { left_ms })
             }
         }
     }
 
-    fn seeker(&self) -> Seeker<'_> {
-        Seeker {
+    fn seeker(&self) -> PendingRequest<'_> {
+        PendingRequest {
             service: &self.service,
-            homes: &self.homes,
+            allowed_regions: &self.homes,
             tried: &self.tried,
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
@@ -161,23 +161,23 @@
         self.route.kind.may_run_again()
             && self.sent < self.route.max_attempts
             && self.time_left_ms() >= LEAST_USEFUL_MS
-            && state.budget.has_one(&self.service, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
             && self.finds_another(&state.pool, now_ms)
     }
 
     fn finds_another(&self, pool: &EndpointPool, now_ms: u64) -> bool {
         let urgency = self.seeker().urgency(now_ms);
-        pool.pick_within(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
+        pool.pick_in_regions(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
     }
 }
 
 /// Why a request is given up that found no endpoint; `last` says how its last attempt went.
-const fn given_up(no_pick: NoPick, last: GivenUp, now_ms: u64) -> GivenUp {
+const fn given_up(no_pick: PickError, last: GivenUp, now_ms: u64) -> GivenUp {
     match no_pick {
-        NoPick::Nobody => last,
-        NoPick::Full => GivenUp::Full,
-        NoPick::Paused { until_ms } => GivenUp::Paused { left_ms: until_ms.saturating_sub(now_ms) },
-        NoPick::Limited { until_ms } => GivenUp::Limited { left_ms: until_ms.saturating_sub(now_ms) },
-        NoPick::Stands => GivenUp::Stands,
+        PickError::Nobody => last,
+        PickError::Full => GivenUp::Full,
+        PickError::Paused { until_ms } => GivenUp::Paused { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Limited { until_ms } => GivenUp::Limited { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Stands => GivenUp::Stands,
     }
 }
--- a/crates/ochreyard-direct/src/peers/ask.rs
+++ b/crates/ochreyard-direct/src/peers/ask.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ochreyard_core::direct::Questions;
+use ochreyard_core::direct::PollSchedule;
 
 use super::peer_reading::PeerReading;
 use super::peer_state::PeerState;
-use super::question::Question;
+use super::state_query::StateQuery;
 use crate::dialect::Dialect;
 use crate::entry::Entry;
-use crate::link::CallLink;
+use crate::http_client::HttpClient;
 
 /// How often others are asked: several times within the time in which a change
 /// must be in force.
@@ -29,13 +29,13 @@
 
 /// Asks other boxes. `seeds` are addresses that are tried beside the boxes that are known.
 pub async fn keep_asking<D: Dialect>(entry: Rc<Entry<D>>, seeds: Vec<SocketAddr>) {
-    let mut links: BTreeMap<SocketAddr, Rc<CallLink>> = BTreeMap::new();
-    let mut questions = Questions::default();
+    let mut links: BTreeMap<SocketAddr, Rc<HttpClient>> = BTreeMap::new();
+    let mut questions = PollSchedule::default();
     loop {
         let is_new = entry.state.borrow().table.is_none();
         tokio::time::sleep(if is_new { FIRST_ASK_EVERY } else { ASK_EVERY }).await;
         for (addr, role) in to_ask(&entry, &seeds, &mut questions) {
-            let link = links.entry(addr).or_insert_with(|| Rc::new(CallLink::new(addr)));
+            let link = links.entry(addr).or_insert_with(|| Rc::new(HttpClient::new(addr)));
             tokio::task::spawn_local(ask(Rc::clone(&entry), Rc::clone(link), role));
         }
     }
@@ -50,16 +50,16 @@
     Any,
 }
 
-fn to_ask<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr], questions: &mut Questions) -> Vec<(SocketAddr, Role)> {
+fn to_ask<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr], questions: &mut PollSchedule) -> Vec<(SocketAddr, Role)> {
     let state = entry.state.borrow();
     let is_new = state.table.is_none();
     let knows_enough = state.log_answers || state.reading.is_fresh(entry.clock.now_ms());
     let is_well = knows_enough && !is_new && entry.is_informed();
     if is_well && !state.boxes.is_empty() {
         let now_ms = entry.clock.now_ms();
-        let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.draw(), now_ms);
-        let relied_on = asked.relied_on.map(|addr| (addr, Role::ReliedOn));
-        let any = asked.any.map(|addr| seed_instead(entry, seeds).unwrap_or(addr));
+        let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.next_random(), now_ms);
+        let relied_on = asked.source.map(|addr| (addr, Role::ReliedOn));
+        let any = asked.random.map(|addr| seed_instead(entry, seeds).unwrap_or(addr));
         return relied_on.into_iter().chain(any.map(|addr| (addr, Role::Any))).collect();
     }
     let own = entry.identity.record.addr;
@@ -70,7 +70,7 @@
     if addrs.is_empty() {
         return Vec::new();
     }
-    let first = usize::try_from(entry.draw() % addrs.len() as u64).unwrap_or(0);
+    let first = usize::try_from(entry.next_random() % addrs.len() as u64).unwrap_or(0);
     addrs.rotate_left(first);
     addrs.truncate(if is_well || is_new { 1 } else { ASKED_AT_ONCE });
     addrs.into_iter().map(|addr| (addr, Role::ReliedOn)).collect()
@@ -79,24 +79,24 @@
 /// A box that the platform names, every other time for a while after the start: boxes that found different ones of them
 /// would else know each other late.
 fn seed_instead<D: Dialect>(entry: &Entry<D>, seeds: &[SocketAddr]) -> Option<SocketAddr> {
-    let draw = entry.draw();
+    let draw = entry.next_random();
     let is_young = entry.clock.now_ms() < entry.started_ms + SEEDS_ASKED_MS;
     let others: Vec<SocketAddr> = seeds.iter().copied().filter(|addr| *addr != entry.identity.record.addr).collect();
     let at = usize::try_from(draw / 2).unwrap_or(0).checked_rem(others.len())?;
     (is_young && draw.is_multiple_of(2)).then(|| others[at])
 }
 
-async fn ask<D: Dialect>(entry: Rc<Entry<D>>, link: Rc<CallLink>, role: Role) {
+async fn ask<D: Dialect>(entry: Rc<Entry<D>>, link: Rc<HttpClient>, role: Role) {
     let asked_ms = entry.clock.now_ms();
-    let path = question(&entry, link.addr()).path();
+    let path = question(&entry, link.addr()).to_path();
     let told = match link.get(&path, ASK_TIMEOUT).await {
         Ok(response) => serde_json::from_slice::<PeerState>(response.body()),
         Err(error) => {
             log::debug!("event=peer_silent addr={} error=\"{error}\"", link.addr());
             let mut state = entry.state.borrow_mut();
-            state.boxes.on_unanswered(link.addr(), asked_ms);
+            state.boxes.on_poll_unanswered(link.addr(), asked_ms);
             if role == Role::ReliedOn {
-                state.reading.pass_over();
+                state.reading.skip_source();
             }
             return;
         }
@@ -107,13 +107,13 @@
     }
 }
 
-fn question<D: Dialect>(entry: &Entry<D>, to: SocketAddr) -> Question {
+fn question<D: Dialect>(entry: &Entry<D>, to: SocketAddr) -> StateQuery {
     let state = entry.state.borrow();
-    Question {
+    StateQuery {
         version: state.table.as_ref().map(|table| table.version()),
         name: Some(entry.identity.name.clone()),
         record: Some(entry.identity.record.clone()),
-        from: Some(state.reading.next().unwrap_or_default()),
+        from: Some(state.reading.next_position().unwrap_or_default()),
         boxes: Some((state.boxes.len(), state.boxes.digest((&entry.identity.name, &entry.identity.record)))),
         heard: entry.heard(to),
     }
@@ -145,7 +145,7 @@
         Some(_) => {}
         None if role == Role::Any => {}
         // It cannot be relied on now: another box is asked next time.
-        None => entry.state.borrow_mut().reading.pass_over(),
+        None => entry.state.borrow_mut().reading.skip_source(),
     }
     entry.take_peer_endpoints(told.endpoints);
     for (name, record) in told.boxes {
@@ -154,7 +154,7 @@
     if told.knows_all_boxes {
         entry.note_all_boxes();
     }
-    entry.take_limit_news(&told.limits);
+    entry.apply_limit_update(&told.limits);
     entry.take_quarantine_news(&told.quarantine);
     entry.note_heard(from, told.told);
 }
@@ -170,7 +170,7 @@
     let as_of_ms = asked_ms.saturating_sub(told.age_ms);
     let now_ms = entry.clock.now_ms();
     let mut state = entry.state.borrow_mut();
-    if state.reading.take_told(told.next, as_of_ms, now_ms) {
+    if state.reading.apply_peer_progress(told.next, as_of_ms, now_ms) {
         state.catalog.on_log_read(now_ms);
     }
 }
