--- a/crates/ochreyard-core/src/retry_after.rs
+++ b/crates/ochreyard-core/src/retry_after.rs
@@ -27,10 +27,10 @@
 /// # Examples
 ///
 /// ```
-/// use ochreyard_core::retry_after::{NoRetryAfter, parse_ms};
+/// use ochreyard_core::retry_after::{ParseRetryAfterError, parse_ms};
 ///
 /// assert_eq!(parse_ms("0.25"), Ok(250));
-/// assert_eq!(parse_ms("soon"), Err(NoRetryAfter::NotSeconds));
+/// assert_eq!(parse_ms("soon"), Err(ParseRetryAfterError::NotSeconds));
 /// ```
 pub fn parse_ms(value: &str) -> Result<u64, ParseRetryAfterError> {
     let seconds: f64 = value.trim().parse().map_err(|_| ParseRetryAfterError::NotSeconds)?;
