--- a/crates/ochreyard-core/examples/error_table.rs
+++ b/crates/ochreyard-core/examples/error_table.rs
@@ -1,4 +1,4 @@
-//! Prints the table of error kinds, as docs/errors.md holds it.
+//! Prints the table of error kinds in the format of docs/errors.md.
 //!
 //! `cargo run -p ochreyard-core --example error_table`
 
--- a/crates/ochreyard-core/examples/quarantine_cost.rs
+++ b/crates/ochreyard-core/examples/quarantine_cost.rs
@@ -1,4 +1,4 @@
-//! What the quarantine of requests costs: time a request, bytes of news, and size when full.
+//! Measures the cost of the quarantine of requests: the time per request and the size of the update messages.
 //!
 //! `cargo run --release -p ochreyard-core --example quarantine_cost`
 
@@ -7,9 +7,10 @@
 
 use ochreyard_core::direct::{CrashReport, Fingerprint, LostRequest, Quarantine, QuarantineUpdate};
 
-/// Requests that an endpoint has when it crashes.
-const LOST: usize = 12;
-/// Heads of one message between boxes, request and answer, and of four segments.
+/// Number of requests that an endpoint is running when it crashes.
+const LOST_REQUESTS: usize = 12;
+/// Size of the HTTP heads of the request and the answer that carry one update between boxes, and of four TCP segment
+/// headers.
 const HEAD_BYTES: usize = 400;
 
 fn request(number: u64) -> Fingerprint {
@@ -25,16 +26,18 @@
 fn with_crashes(crashes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for crash in 0..crashes {
-        for at in 0..64 {
-            let lost = LostRequest { fingerprint: request(crash * 64 + at), ran_ms: Some(700) };
+        for index in 0..64 {
+            let lost = LostRequest { fingerprint: request(crash * 64 + index), ran_ms: Some(700) };
             quarantine.on_crash(&format!("i-{crash:010}"), "service", lost, 1_000 * crash, 1_000 * crash);
         }
     }
     quarantine
 }
 
-fn news_bytes(lost: usize) -> usize {
-    let lost = (0..lost).map(|at| LostRequest { fingerprint: request(at as u64), ran_ms: Some(1_234) }).collect();
+fn update_bytes(lost_requests: usize) -> usize {
+    let lost = (0..lost_requests)
+        .map(|index| LostRequest { fingerprint: request(index as u64), ran_ms: Some(1_234) })
+        .collect();
     let crash = CrashReport { endpoint: "i-0123456789".into(), service: "service".into(), age_ms: 7, lost };
     serde_json::to_vec(&QuarantineUpdate { crashes: vec![crash], ..QuarantineUpdate::default() })
         .unwrap_or_default()
@@ -54,25 +57,25 @@
         let us = mean_us(100_000, || {
             black_box(quarantine.decision(black_box(request(5)), 1_000));
         });
-        let mut judging = quarantine.clone();
+        let mut crashing = quarantine.clone();
         let mut number = 0;
-        let judge_us = mean_us(50, || {
+        let crash_us = mean_us(50, || {
             number += 1;
             let lost = LostRequest { fingerprint: request(u64::MAX - number), ran_ms: None };
-            judging.on_crash("one-more", "service", lost, 1_000 * crashes + 9, 1_000 * crashes + 9);
+            crashing.on_crash("one-more", "service", lost, 1_000 * crashes + 9, 1_000 * crashes + 9);
         });
         println!(
-            "{crashes} crashes with 64 requests each: clearance {us:.2} us, one more lost request {judge_us:.0} us"
+            "{crashes} crashes with 64 requests each: decision {us:.2} us, one more lost request {crash_us:.0} us"
         );
     }
     for entries in [8_usize, 38, 99, 370] {
-        let tellers = entries.min(LOST);
-        let message = news_bytes(LOST.div_ceil(tellers)) + HEAD_BYTES;
-        let messages = tellers * (entries - 1);
+        let senders = entries.min(LOST_REQUESTS);
+        let message_bytes = update_bytes(LOST_REQUESTS.div_ceil(senders)) + HEAD_BYTES;
+        let messages = senders * (entries - 1);
         println!(
-            "{entries} entries, a crash with {LOST} requests: {messages} messages, {} bytes received an entry, {} in all",
-            tellers * message,
-            messages * message
+            "{entries} entries, a crash with {LOST_REQUESTS} requests: {messages} messages, {} bytes received per entry, {} in all",
+            senders * message_bytes,
+            messages * message_bytes
         );
     }
 }
