--- a/crates/ochreyard-core/examples/state_size.rs
+++ b/crates/ochreyard-core/examples/state_size.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use ochreyard_core::config::{
-    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec,
-    WorkspaceSpec,
+    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Role, ServiceKind, ServiceSpec,
+    ServingPermission, WorkspaceSpec,
 };
 use ochreyard_core::hash::sha256_hex;
 use ochreyard_core::home::{KeyHome, key_hash};
@@ -22,12 +22,12 @@
 }
 
 fn place(number: usize) -> DataCentreSpec {
-    let holding = |model| Holding {
+    let permission = |model| ServingPermission {
         service: format!("model-{model}").into(),
         model_versions: ["v1".to_owned()].into(),
         roles: [Role::Mixed].into(),
     };
-    DataCentreSpec { data_centre: format!("dc-{number}").into(), may_hold: (0..MODELS).map(holding).collect() }
+    DataCentreSpec { data_centre: format!("dc-{number}").into(), may_hold: (0..MODELS).map(permission).collect() }
 }
 
 fn workspace(number: usize) -> WorkspaceSpec {
--- a/crates/ochreyard-core/src/config.rs
+++ b/crates/ochreyard-core/src/config.rs
@@ -15,4 +15,4 @@
 pub use fold::{ConfigFold, FoldEvent, FoldStatus, LogPage, LogRecord};
 pub use plan::{Plan, PlanStep};
 pub use record::{ConfigRecord, ConfirmedPlan, HomeAck};
-pub use spec::{DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec, WorkspaceSpec};
+pub use spec::{DataCentreSpec, EndpointSpec, Role, ServiceKind, ServiceSpec, ServingPermission, WorkspaceSpec};
--- a/crates/ochreyard-core/src/config/spec.rs
+++ b/crates/ochreyard-core/src/config/spec.rs
@@ -85,7 +85,7 @@
 /// The model versions and roles of one service that the endpoints of a data centre may have.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Holding {
+pub struct ServingPermission {
     /// The name of the service.
     pub service: ServiceId,
     /// The permitted model versions; empty for a plain service.
@@ -103,20 +103,20 @@
     /// The name of the data centre.
     pub data_centre: DataCentreId,
     /// The services, model versions and roles that its endpoints may have.
-    pub may_hold: Vec<Holding>,
+    pub may_hold: Vec<ServingPermission>,
 }
 
 impl DataCentreSpec {
     /// Returns whether the endpoint that `spec` describes may be in this data centre.
     #[must_use]
     pub fn permits(&self, spec: &EndpointSpec, kind: ServiceKind) -> bool {
-        let permits = |holding: &Holding| match kind {
+        let permits = |permission: &ServingPermission| match kind {
             ServiceKind::Plain => true,
             ServiceKind::Model => {
-                holding.model_versions.contains(&spec.model_version) && holding.roles.contains(&spec.role)
+                permission.model_versions.contains(&spec.model_version) && permission.roles.contains(&spec.role)
             }
         };
-        self.may_hold.iter().any(|holding| holding.service == spec.service && permits(holding))
+        self.may_hold.iter().any(|permission| permission.service == spec.service && permits(permission))
     }
 }
 
--- a/crates/ochreyard-core/src/membership.rs
+++ b/crates/ochreyard-core/src/membership.rs
@@ -31,7 +31,7 @@
     pub step_us: u64,
 }
 
-/// The health of an agent as judged by one entry.
+/// The health of an agent as seen by one entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
     /// The agent has reported recently.
--- a/crates/ochreyard-core/tests/admission.rs
+++ b/crates/ochreyard-core/tests/admission.rs
@@ -7,8 +7,8 @@
     Admission, AdmissionAction, AdmissionSettings, AttemptLog, AttemptState, Offer, Outcome, RevokeAnswer, StoredAnswer,
 };
 use ochreyard_core::config::{
-    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec,
-    WorkspaceSpec,
+    Change, Configuration, ConfirmedPlan, DataCentreSpec, EndpointSpec, Role, ServiceKind, ServiceSpec,
+    ServingPermission, WorkspaceSpec,
 };
 use ochreyard_core::error_kind::{ErrorKind, RunStatus};
 use ochreyard_core::ids::{AttemptId, Incarnation};
@@ -37,9 +37,13 @@
 }
 
 fn configuration(workspaces: Vec<WorkspaceSpec>, slots: u32) -> Configuration {
-    let place = |name: &str| DataCentreSpec {
+    let data_centre = |name: &str| DataCentreSpec {
         data_centre: name.into(),
-        may_hold: vec![Holding { service: "s".into(), model_versions: BTreeSet::new(), roles: BTreeSet::new() }],
+        may_hold: vec![ServingPermission {
+            service: "s".into(),
+            model_versions: BTreeSet::new(),
+            roles: BTreeSet::new(),
+        }],
     };
     let service =
         ServiceSpec { service: "s".into(), kind: ServiceKind::Plain, first_byte_ms: 100, objective_permille: 900 };
@@ -54,7 +58,7 @@
     };
     let change = Change {
         services: vec![service],
-        data_centres: vec![place("dc"), place("far")],
+        data_centres: vec![data_centre("dc"), data_centre("far")],
         workspaces,
         endpoints: vec![endpoint],
         ..Change::default()
--- a/crates/ochreyard-core/tests/at_most_once_model/specs.rs
+++ b/crates/ochreyard-core/tests/at_most_once_model/specs.rs
@@ -5,7 +5,7 @@
 
 use ochreyard_core::admission::{Admission, AdmissionSettings};
 use ochreyard_core::config::{
-    Change, DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec, WorkspaceSpec,
+    Change, DataCentreSpec, EndpointSpec, Role, ServiceKind, ServiceSpec, ServingPermission, WorkspaceSpec,
 };
 use ochreyard_core::ids::Incarnation;
 
@@ -15,7 +15,7 @@
 pub fn first_change() -> Change {
     Change {
         services: vec![service()],
-        data_centres: vec![place("dc-a"), place("dc-b")],
+        data_centres: vec![data_centre_spec("dc-a"), data_centre_spec("dc-b")],
         workspaces: vec![workspace(3)],
         endpoints: vec![endpoint_spec(0, 0), endpoint_spec(1, 0)],
         ..Change::default()
@@ -26,10 +26,14 @@
     ServiceSpec { service: "s".into(), kind: ServiceKind::Plain, first_byte_ms: 100, objective_permille: 900 }
 }
 
-fn place(name: &str) -> DataCentreSpec {
+fn data_centre_spec(name: &str) -> DataCentreSpec {
     DataCentreSpec {
         data_centre: name.into(),
-        may_hold: vec![Holding { service: "s".into(), model_versions: BTreeSet::new(), roles: BTreeSet::new() }],
+        may_hold: vec![ServingPermission {
+            service: "s".into(),
+            model_versions: BTreeSet::new(),
+            roles: BTreeSet::new(),
+        }],
     }
 }
 
