--- a/crates/ochreyard-agent/src/admission_actor.rs
+++ b/crates/ochreyard-agent/src/admission_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the admission: it feeds events in and carries actions out.
+//! The actor that owns the admission control, passes events to it and performs its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,50 +13,59 @@
 use ochreyard_process::Clock;
 use tokio::sync::{Notify, oneshot};
 
-/// What becomes of an offer.
+/// The decision about an offer.
 #[derive(Debug)]
-pub enum Ruling {
-    /// Call the endpoint; stop when notified.
+pub enum AdmissionDecision {
+    /// Call the endpoint, and cancel the call when notified.
     Start(Arc<Notify>),
-    /// A final refusal.
+    /// Refuse the offer.
     Refused(Refusal),
-    /// The answer of an earlier run.
+    /// Replay the stored answer of an earlier run.
     Replay(Arc<StoredAnswer>),
-    /// The same attempt has arrived before.
-    Repeated,
+    /// An offer of the same attempt has arrived before.
+    Duplicate,
 }
 
-/// Owns the admission of the endpoint.
+/// Owns the admission control of the endpoint.
 #[derive(Actor)]
 pub struct AdmissionActor {
     admission: Admission,
     clock: Clock,
-    waiting: HashMap<AttemptId, oneshot::Sender<Ruling>>,
-    stops: HashMap<AttemptId, Arc<Notify>>,
-    reports: u64,
+    pending_replies: HashMap<AttemptId, oneshot::Sender<AdmissionDecision>>,
+    cancel_signals: HashMap<AttemptId, Arc<Notify>>,
+    report_count: u64,
     step_us: u64,
 }
 
 impl AdmissionActor {
-    /// An actor for `admission`.
+    /// Creates the actor that owns `admission`.
     #[must_use]
     pub fn new(admission: Admission, clock: Clock) -> Self {
-        Self { admission, clock, waiting: HashMap::new(), stops: HashMap::new(), reports: 0, step_us: 0 }
+        Self {
+            admission,
+            clock,
+            pending_replies: HashMap::new(),
+            cancel_signals: HashMap::new(),
+            report_count: 0,
+            step_us: 0,
+        }
     }
 
-    fn carry_out(&mut self, actions: Vec<AdmissionAction>) {
+    fn apply_actions(&mut self, actions: Vec<AdmissionAction>) {
         for action in actions {
             match action {
                 AdmissionAction::Start(attempt) => self.start(attempt),
                 AdmissionAction::Refuse { attempt, refusal } => {
                     metrics::counter!("ochreyard_agent_refused_total", "kind" => refusal.kind.as_str()).increment(1);
-                    self.rule(attempt, Ruling::Refused(refusal));
+                    self.send_decision(attempt, AdmissionDecision::Refused(refusal));
+                }
+                AdmissionAction::Replay { attempt, answer } => {
+                    self.send_decision(attempt, AdmissionDecision::Replay(answer));
                 }
-                AdmissionAction::Replay { attempt, answer } => self.rule(attempt, Ruling::Replay(answer)),
-                AdmissionAction::Duplicate(attempt) => self.rule(attempt, Ruling::Repeated),
+                AdmissionAction::Duplicate(attempt) => self.send_decision(attempt, AdmissionDecision::Duplicate),
                 AdmissionAction::Stop(attempt) => {
-                    if let Some(stop) = self.stops.get(&attempt) {
-                        stop.notify_one();
+                    if let Some(cancel) = self.cancel_signals.get(&attempt) {
+                        cancel.notify_one();
                     }
                 }
             }
@@ -67,56 +76,56 @@
     }
 
     fn start(&mut self, attempt: AttemptId) {
-        let stop = Arc::new(Notify::new());
-        self.stops.insert(attempt, Arc::clone(&stop));
+        let cancel = Arc::new(Notify::new());
+        self.cancel_signals.insert(attempt, Arc::clone(&cancel));
         metrics::counter!("ochreyard_agent_started_total").increment(1);
-        self.rule(attempt, Ruling::Start(stop));
+        self.send_decision(attempt, AdmissionDecision::Start(cancel));
     }
 
-    fn rule(&mut self, attempt: AttemptId, ruling: Ruling) {
-        if let Some(reply) = self.waiting.remove(&attempt) {
-            // A caller that has gone cancels by a message of its own.
-            let _ = reply.send(ruling);
+    fn send_decision(&mut self, attempt: AttemptId, decision: AdmissionDecision) {
+        if let Some(reply) = self.pending_replies.remove(&attempt) {
+            // If the receiver is gone, the caller has disconnected and sends a `Cancel` message.
+            let _ = reply.send(decision);
         }
     }
 }
 
-/// An offer; the ruling comes later if it has to wait.
-pub struct TakeOffer(pub Offer);
+/// Submits an offer. The decision arrives later if the offer is queued.
+pub struct SubmitOffer(pub Offer);
 
-impl Message<TakeOffer> for AdmissionActor {
-    type Reply = oneshot::Receiver<Ruling>;
+impl Message<SubmitOffer> for AdmissionActor {
+    type Reply = oneshot::Receiver<AdmissionDecision>;
 
-    async fn handle(&mut self, TakeOffer(offer): TakeOffer, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
-        let (reply, ruling) = oneshot::channel();
+    async fn handle(&mut self, SubmitOffer(offer): SubmitOffer, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
+        let (reply, decision) = oneshot::channel();
         let attempt = offer.attempt;
         let now_ms = self.clock.now_ms();
         let actions = self.admission.offer(offer, now_ms);
         if actions == [AdmissionAction::Duplicate(attempt)] {
-            // The first arrival keeps its place; only this message is answered.
-            let _ = reply.send(Ruling::Repeated);
-            return ruling;
+            // The first offer stays queued or running; only this duplicate is answered.
+            let _ = reply.send(AdmissionDecision::Duplicate);
+            return decision;
         }
-        self.waiting.insert(attempt, reply);
-        self.carry_out(actions);
-        ruling
+        self.pending_replies.insert(attempt, reply);
+        self.apply_actions(actions);
+        decision
     }
 }
 
-/// A started attempt has ended.
+/// Records the end of a started attempt.
 pub struct Finish(pub AttemptId, pub Outcome);
 
 impl Message<Finish> for AdmissionActor {
     type Reply = ();
 
     async fn handle(&mut self, Finish(attempt, outcome): Finish, _: &mut Context<Self, Self::Reply>) {
-        self.stops.remove(&attempt);
+        self.cancel_signals.remove(&attempt);
         let actions = self.admission.finish(attempt, outcome, self.clock.now_ms());
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 }
 
-/// The caller of an attempt has gone.
+/// Cancels an attempt whose caller has disconnected.
 pub struct Cancel(pub AttemptId);
 
 impl Message<Cancel> for AdmissionActor {
@@ -124,24 +133,28 @@
 
     async fn handle(&mut self, Cancel(attempt): Cancel, _: &mut Context<Self, Self::Reply>) {
         let actions = self.admission.cancel(attempt, self.clock.now_ms());
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 }
 
-/// An attempt shall not start.
+/// Prevents an attempt from starting.
 pub struct Revoke(pub AttemptId, pub Incarnation);
 
 impl Message<Revoke> for AdmissionActor {
     type Reply = Option<RevokeAnswer>;
 
-    async fn handle(&mut self, Revoke(attempt, to): Revoke, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
-        let (answer, actions) = self.admission.revoke(attempt, to);
-        self.carry_out(actions);
+    async fn handle(
+        &mut self,
+        Revoke(attempt, agent_incarnation): Revoke,
+        _: &mut Context<Self, Self::Reply>,
+    ) -> Self::Reply {
+        let (answer, actions) = self.admission.revoke(attempt, agent_incarnation);
+        self.apply_actions(actions);
         Some(answer)
     }
 }
 
-/// A configuration from an entry.
+/// Puts a configuration from an entry in force, if it is newer.
 pub struct Configure(pub Arc<Configuration>);
 
 impl Message<Configure> for AdmissionActor {
@@ -150,7 +163,7 @@
     async fn handle(&mut self, Configure(config): Configure, _: &mut Context<Self, Self::Reply>) -> u64 {
         let before = self.admission.config_version();
         let actions = self.admission.configure(config, self.clock.now_ms());
-        self.carry_out(actions);
+        self.apply_actions(actions);
         let version = self.admission.config_version();
         if version != before {
             log::info!("event=config_in_force version={version}");
@@ -159,26 +172,26 @@
     }
 }
 
-/// A heartbeat from an entry.
-pub struct Beat {
-    /// The life for which the entry read the log to its end.
+/// Records a heartbeat from an entry, and replies with a status report.
+pub struct RecordHeartbeat {
+    /// The agent incarnation for which the entry has read the log to its end.
     pub verified_for: Incarnation,
-    /// The version found there.
+    /// The version in force at the end of the log.
     pub tail_version: u64,
 }
 
-impl Message<Beat> for AdmissionActor {
+impl Message<RecordHeartbeat> for AdmissionActor {
     type Reply = Option<AgentReport>;
 
-    async fn handle(&mut self, beat: Beat, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
-        if beat.verified_for == self.admission.incarnation() {
-            self.admission.verify_tail(beat.tail_version, self.clock.now_ms());
+    async fn handle(&mut self, heartbeat: RecordHeartbeat, _: &mut Context<Self, Self::Reply>) -> Self::Reply {
+        if heartbeat.verified_for == self.admission.incarnation() {
+            self.admission.verify_tail(heartbeat.tail_version, self.clock.now_ms());
         }
-        self.reports += 1;
+        self.report_count += 1;
         let admission = &self.admission;
         Some(AgentReport {
             incarnation: admission.incarnation(),
-            number: self.reports,
+            number: self.report_count,
             config_version: admission.config_version(),
             tail_verified: admission.is_tail_verified(),
             leaving: admission.is_leaving(),
@@ -191,7 +204,7 @@
     }
 }
 
-/// Time passes; the endpoint's last step time comes with it.
+/// Refuses queued offers whose deadline has passed.
 pub struct Tick;
 
 impl Message<Tick> for AdmissionActor {
@@ -199,11 +212,11 @@
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self, Self::Reply>) {
         let actions = self.admission.tick(self.clock.now_ms());
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 }
 
-/// The endpoint's step time, in microseconds.
+/// Sets the endpoint's step time, in microseconds.
 pub struct StepTime(pub u64);
 
 impl Message<StepTime> for AdmissionActor {
@@ -214,7 +227,7 @@
     }
 }
 
-/// No new work from now on.
+/// Refuses new work from now on.
 pub struct Leave;
 
 impl Message<Leave> for AdmissionActor {
@@ -222,11 +235,11 @@
 
     async fn handle(&mut self, _: Leave, _: &mut Context<Self, Self::Reply>) {
         let actions = self.admission.leave();
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 }
 
-/// How many requests run.
+/// Returns the number of running requests.
 pub struct CountRunning;
 
 impl Message<CountRunning> for AdmissionActor {
--- a/crates/ochreyard-agent/src/call.rs
+++ b/crates/ochreyard-agent/src/call.rs
@@ -1,4 +1,4 @@
-//! One call: from the offer to the last frame.
+//! Handles a call of an entry, from the offer to the last frame of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,69 +14,73 @@
 use ochreyard_peer::{AgentHandler, CallEnd, CallRequest, Heartbeat};
 use tokio::sync::{Notify, mpsc};
 
-use crate::admission_actor::{AdmissionActor, Beat, Cancel, Configure, Finish, Revoke, Ruling, TakeOffer};
+use crate::admission_actor::{
+    AdmissionActor, AdmissionDecision, Cancel, Configure, Finish, RecordHeartbeat, Revoke, SubmitOffer,
+};
 
-/// Largest answer that is kept for a repeat of its key, in bytes.
-const MAX_KEPT_BYTES: usize = 64 * 1024;
+/// Maximum size of the answer body that is stored for an idempotency key, in bytes.
+const MAX_STORED_ANSWER_BYTES: usize = 64 * 1024;
 
-/// Answers entries: the shell around the admission and the endpoint.
+/// Handles the messages of entries, with the admission control and the endpoint.
 pub struct Agent {
-    /// Name of the endpoint's data centre, to know whether data may rest here.
+    /// Name of the endpoint's data centre, which determines whether a workspace's data may be stored here.
     pub data_centre: String,
-    /// Owns the admission.
+    /// The actor that owns the admission control.
     pub admission: ActorRef<AdmissionActor>,
-    /// The endpoint.
+    /// The client of the endpoint.
     pub endpoint: EndpointClient,
-    /// The configuration, for what the endpoint is told about caching.
+    /// The configuration in force, which determines whether the endpoint may cache data.
     pub config: std::sync::RwLock<Option<Arc<Configuration>>>,
 }
 
-fn lost_actor() -> CallEnd {
-    CallEnd::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission has ended"))
+fn actor_stopped() -> CallEnd {
+    CallEnd::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission control has stopped"))
 }
 
 impl AgentHandler for Agent {
-    async fn heartbeat(&self, beat: Heartbeat) -> AgentReport {
-        let beat = Beat { verified_for: beat.verified_for, tail_version: beat.tail_version };
-        self.admission.ask(beat).await.ok().flatten().unwrap_or_default()
+    async fn heartbeat(&self, heartbeat: Heartbeat) -> AgentReport {
+        let message = RecordHeartbeat { verified_for: heartbeat.verified_for, tail_version: heartbeat.tail_version };
+        self.admission.ask(message).await.ok().flatten().unwrap_or_default()
     }
 
     async fn configure(&self, config: Arc<Configuration>) -> u64 {
         let version = self.admission.ask(Configure(Arc::clone(&config))).await.unwrap_or(0);
         if version == config.version()
-            && let Ok(mut held) = self.config.write()
+            && let Ok(mut current) = self.config.write()
         {
-            *held = Some(config);
+            *current = Some(config);
         }
         version
     }
 
     async fn extend(&self, delta: Delta) -> u64 {
-        let held = self.config.read().ok().and_then(|held| held.clone()).unwrap_or_default();
-        match delta.applied_to(&held) {
+        let base = self.config.read().ok().and_then(|current| current.clone()).unwrap_or_default();
+        match delta.applied_to(&base) {
             Some(next) => self.configure(Arc::new(next)).await,
-            None => held.version(),
+            None => base.version(),
         }
     }
 
     async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> CallEnd {
         let attempt = call.offer.attempt;
-        let Ok(mut ruling) = self.admission.ask(TakeOffer(call.offer.clone())).await else {
-            return lost_actor();
+        let Ok(mut decision) = self.admission.ask(SubmitOffer(call.offer.clone())).await else {
+            return actor_stopped();
         };
-        let ruling = tokio::select! {
-            ruling = &mut ruling => ruling,
+        let decision = tokio::select! {
+            decision = &mut decision => decision,
             () = frames.closed() => {
                 let _ = self.admission.ask(Cancel(attempt)).await;
-                ruling.await
+                decision.await
             }
         };
-        match ruling {
-            Ok(Ruling::Start(stop)) => self.run(&call, frames, &stop).await,
-            Ok(Ruling::Refused(refusal)) => CallEnd::Refused(refusal),
-            Ok(Ruling::Replay(answer)) => replay(attempt, &answer, &frames).await,
-            Ok(Ruling::Repeated) => CallEnd::Refused(Refusal::new(ErrorKind::Revoked).with_run(RunStatus::MayHaveRun)),
-            Err(_) => lost_actor(),
+        match decision {
+            Ok(AdmissionDecision::Start(cancel)) => self.run(&call, frames, &cancel).await,
+            Ok(AdmissionDecision::Refused(refusal)) => CallEnd::Refused(refusal),
+            Ok(AdmissionDecision::Replay(answer)) => replay(attempt, &answer, &frames).await,
+            Ok(AdmissionDecision::Duplicate) => {
+                CallEnd::Refused(Refusal::new(ErrorKind::Revoked).with_run(RunStatus::MayHaveRun))
+            }
+            Err(_) => actor_stopped(),
         }
     }
 
@@ -84,38 +88,38 @@
         let _ = self.admission.ask(Cancel(attempt)).await;
     }
 
-    async fn revoke(&self, attempt: AttemptId, to: Incarnation) -> RevokeAnswer {
-        self.admission.ask(Revoke(attempt, to)).await.ok().flatten().unwrap_or(RevokeAnswer::Unknown)
+    async fn revoke(&self, attempt: AttemptId, agent_incarnation: Incarnation) -> RevokeAnswer {
+        self.admission.ask(Revoke(attempt, agent_incarnation)).await.ok().flatten().unwrap_or(RevokeAnswer::Unknown)
     }
 }
 
-/// How the part of a call between endpoint and entry ended.
+/// How the forwarding of an answer from the endpoint to the entry ended.
 enum Streamed {
-    Whole(Option<Arc<StoredAnswer>>),
+    Complete(Option<Arc<StoredAnswer>>),
     CallerGone,
     Failed(EndpointError),
 }
 
 impl Agent {
-    /// Calls the endpoint, and notes the outcome before the answer's end goes out.
-    async fn run(&self, call: &CallRequest, frames: mpsc::Sender<Frame>, stop: &Notify) -> CallEnd {
+    /// Calls the endpoint, and records the outcome before the end of the answer is sent.
+    async fn run(&self, call: &CallRequest, frames: mpsc::Sender<Frame>, cancel: &Notify) -> CallEnd {
         let offer = &call.offer;
         let mut writer = FrameWriter::new(offer.attempt);
         let streamed = {
-            let work = self.stream(call, &mut writer, &frames);
+            let forwarding = self.stream(call, &mut writer, &frames);
             let deadline = tokio::time::sleep(Duration::from_millis(offer.remaining_ms));
             if offer.repeatable {
                 tokio::select! {
-                    streamed = work => Ok(streamed),
+                    streamed = forwarding => Ok(streamed),
                     () = deadline => Err(ErrorKind::DeadlineExceeded),
-                    () = stop.notified() => Err(ErrorKind::CallerGone),
+                    () = cancel.notified() => Err(ErrorKind::CallerGone),
                 }
             } else {
-                // It runs to its end, so that its outcome is known when the key comes again.
-                Ok(work.await)
+                // The call always runs to its end, so that the outcome is known when the key is used again.
+                Ok(forwarding.await)
             }
         };
-        let (outcome, end) = conclude(offer, streamed);
+        let (outcome, end) = outcome_and_end(offer, streamed);
         let _ = self.admission.ask(Finish(offer.attempt, outcome)).await;
         if end == CallEnd::Sent {
             let _ = frames.send(writer.end()).await;
@@ -129,20 +133,20 @@
             Err(error) => return Streamed::Failed(error),
         };
         let head = FrameBody::Head { status: answer.status, content_type: answer.content_type.clone() };
-        let mut caller_there = frames.send(writer.frame(head)).await.is_ok();
-        let mut kept = Keeper::new(&answer, &call.offer);
+        let mut is_caller_connected = frames.send(writer.frame(head)).await.is_ok();
+        let mut collector = AnswerCollector::new(&answer, &call.offer);
         let mut answer = answer;
         loop {
-            if !caller_there && call.offer.repeatable {
+            if !is_caller_connected && call.offer.repeatable {
                 return Streamed::CallerGone;
             }
             match answer.next_part().await {
                 Ok(Some(part)) => {
-                    kept.add(&part);
+                    collector.add(&part);
                     let frame = writer.frame(FrameBody::Data(part.to_vec()));
-                    caller_there = caller_there && frames.send(frame).await.is_ok();
+                    is_caller_connected = is_caller_connected && frames.send(frame).await.is_ok();
                 }
-                Ok(None) => return Streamed::Whole(kept.done()),
+                Ok(None) => return Streamed::Complete(collector.finish()),
                 Err(error) => return Streamed::Failed(error),
             }
         }
@@ -153,7 +157,7 @@
         let context = CallContext {
             attempt: &attempt,
             workspace: call.offer.workspace.as_str(),
-            may_keep: self.may_keep(&call.offer),
+            may_keep: self.may_store_data(&call.offer),
         };
         let request = EndpointRequest {
             method: &call.request.method,
@@ -164,26 +168,26 @@
         self.endpoint.call(request, context).await
     }
 
-    fn may_keep(&self, offer: &Offer) -> bool {
-        let Ok(held) = self.config.read() else { return false };
-        let workspace = held.as_ref().and_then(|config| config.workspace(&offer.workspace));
+    fn may_store_data(&self, offer: &Offer) -> bool {
+        let Ok(current) = self.config.read() else { return false };
+        let workspace = current.as_ref().and_then(|config| config.workspace(&offer.workspace));
         workspace.is_some_and(|ws| ws.keep_in.contains(self.data_centre.as_str()))
     }
 }
 
-fn conclude(offer: &Offer, streamed: Result<Streamed, ErrorKind>) -> (Outcome, CallEnd) {
+fn outcome_and_end(offer: &Offer, streamed: Result<Streamed, ErrorKind>) -> (Outcome, CallEnd) {
     let cost = offer.cost;
     match streamed {
-        Ok(Streamed::Whole(Some(answer))) => (Outcome::ran(cost).with_answer(answer), CallEnd::Sent),
-        Ok(Streamed::Whole(None)) => (Outcome::ran(cost), CallEnd::Sent),
+        Ok(Streamed::Complete(Some(answer))) => (Outcome::ran(cost).with_answer(answer), CallEnd::Sent),
+        Ok(Streamed::Complete(None)) => (Outcome::ran(cost), CallEnd::Sent),
         Ok(Streamed::CallerGone) => {
             (Outcome::may_have_run(cost), CallEnd::Refused(Refusal::new(ErrorKind::CallerGone)))
         }
         Ok(Streamed::Failed(error)) => {
             log::warn!("event=endpoint_call_failed attempt={} kind={} error=\"{error}\"", offer.attempt, error.kind());
             let refusal = Refusal::new(error.kind());
-            let ran = refusal.run != RunStatus::NotRun;
-            let outcome = if ran { Outcome::may_have_run(cost) } else { Outcome::not_run() };
+            let may_have_run = refusal.run != RunStatus::NotRun;
+            let outcome = if may_have_run { Outcome::may_have_run(cost) } else { Outcome::not_run() };
             (outcome, CallEnd::Refused(refusal))
         }
         Err(kind) => (Outcome::may_have_run(cost), CallEnd::Refused(Refusal::new(kind))),
@@ -203,28 +207,28 @@
     CallEnd::Sent
 }
 
-/// Collects the answer to a key, while it is small enough to keep.
-struct Keeper {
+/// Collects the answer to a request with an idempotency key, unless it grows too large to store.
+struct AnswerCollector {
     answer: Option<StoredAnswer>,
 }
 
-impl Keeper {
+impl AnswerCollector {
     fn new(answer: &EndpointAnswer, offer: &Offer) -> Self {
-        let kept =
+        let empty_answer =
             || StoredAnswer { status: answer.status, content_type: answer.content_type.clone(), body: Vec::new() };
-        Self { answer: offer.key.is_some().then(kept) }
+        Self { answer: offer.key.is_some().then(empty_answer) }
     }
 
     fn add(&mut self, part: &[u8]) {
         if let Some(answer) = &mut self.answer {
             answer.body.extend_from_slice(part);
         }
-        if self.answer.as_ref().is_some_and(|answer| answer.body.len() > MAX_KEPT_BYTES) {
+        if self.answer.as_ref().is_some_and(|answer| answer.body.len() > MAX_STORED_ANSWER_BYTES) {
             self.answer = None;
         }
     }
 
-    fn done(self) -> Option<Arc<StoredAnswer>> {
+    fn finish(self) -> Option<Arc<StoredAnswer>> {
         self.answer.map(Arc::new)
     }
 }
--- a/crates/ochreyard-agent/src/fields.rs
+++ b/crates/ochreyard-agent/src/fields.rs
@@ -1,11 +1,11 @@
-//! The table of settings.
+//! The settings of the agent.
 
 use ochreyard_process::{FieldKind, FieldSpec, LOG_LEVEL, LOG_LINES_PER_S, LOG_TARGET};
 
-/// The value of `listen_addr` that stands for `agent_addr`.
+/// The value of `listen_addr` that means the same address as `agent_addr`.
 pub const SAME_AS_AGENT_ADDR: &str = "0.0.0.0:0";
 
-/// Every field of the agent's settings.
+/// All fields of the agent's settings.
 pub const FIELDS: &[FieldSpec] = &[
     FieldSpec { name: "agent", kind: FieldKind::Name, default: None, about: "name of this box" },
     FieldSpec { name: "endpoint", kind: FieldKind::Name, default: None, about: "the endpoint beside this agent" },
--- a/crates/ochreyard-agent/src/main.rs
+++ b/crates/ochreyard-agent/src/main.rs
@@ -1,4 +1,4 @@
-//! `ochreyard-agent`: the one small process beside each endpoint.
+//! `ochreyard-agent`, the process that runs next to each endpoint.
 
 mod admission_actor;
 mod call;
@@ -19,13 +19,13 @@
 
 fn main() -> ExitCode {
     if let Err(error) = outlive_hangup() {
-        eprintln!("ochreyard-agent: SIGHUP cannot be taken: {error}");
+        eprintln!("ochreyard-agent: cannot install the handler for SIGHUP: {error}");
         return ExitCode::FAILURE;
     }
     exit_for_version("ochreyard-agent", env!("CARGO_PKG_VERSION"));
     let flags = OchreyardAgent::from_env().unwrap_or_else(|error| exit_for_usage("ochreyard-agent", &error));
     let result = match flags.subcommand {
-        OchreyardAgentCmd::Serve(args) => read(&args.settings).and_then(serve::run),
+        OchreyardAgentCmd::Serve(args) => read_settings(&args.settings).and_then(serve::run),
         OchreyardAgentCmd::Rank(args) => {
             Settings::read(&args.settings, ochreyard_rank::FIELDS).map_err(Into::into).and_then(|s| rank::run(&s))
         }
@@ -49,6 +49,6 @@
     }
 }
 
-fn read(path: &std::path::Path) -> miette::Result<Settings> {
+fn read_settings(path: &std::path::Path) -> miette::Result<Settings> {
     Ok(Settings::read(path, FIELDS)?)
 }
--- a/crates/ochreyard-agent/src/ops.rs
+++ b/crates/ochreyard-agent/src/ops.rs
@@ -8,7 +8,7 @@
 use axum::routing::get;
 use metrics_exporter_prometheus::PrometheusHandle;
 
-/// The routes for health and metrics; `ready` says whether new work is taken.
+/// Returns the routes for health and metrics. `ready` is whether new work is accepted.
 pub fn router(metrics: PrometheusHandle, ready: Arc<AtomicBool>) -> Router {
     let readiness = move || async move {
         if ready.load(Ordering::Relaxed) {
--- a/crates/ochreyard-agent/src/rank.rs
+++ b/crates/ochreyard-agent/src/rank.rs
@@ -1,4 +1,4 @@
-//! Runs the agent of a rank in the dialect of the users' platform.
+//! Runs the agent of a rank whose engine speaks the protocol of the users' platform.
 
 use ochreyard_hosted::HostedEngines;
 use ochreyard_process::Settings;
--- a/crates/ochreyard-agent/src/rebalancer.rs
+++ b/crates/ochreyard-agent/src/rebalancer.rs
@@ -1,4 +1,4 @@
-//! Changes the group's expert map when that pays.
+//! Changes the expert map of a group if the benefit exceeds the cost.
 
 use std::time::Duration;
 
@@ -12,33 +12,33 @@
 use ochreyard_process::Clock;
 use tokio::task::JoinSet;
 
-use crate::leases::Leases;
+use crate::leases::LeaseClient;
 
-/// How often a change under way looks at the time.
+/// Interval at which a map change in progress checks its timeouts.
 const SWITCH_TICK: Duration = Duration::from_millis(20);
-/// Bits of a map's number that count the maps under one lease.
+/// Number of low bits of a map's number that distinguish the maps under one lease.
 const MAP_BITS: u32 = 8;
 
-/// Watches one group and changes its map.
+/// Observes one group and changes its expert map.
 pub struct Rebalancer {
-    /// The group.
+    /// The client of the group.
     pub endpoint: EndpointClient,
-    /// Leases to change the map.
-    pub leases: Leases<HttpPlatform>,
-    /// The rate-limited store of weights.
+    /// Acquires the lease that permits map changes.
+    pub leases: LeaseClient<HttpPlatform>,
+    /// The rate-limited store of model weights.
     pub store: HttpPlatform,
-    /// Time.
+    /// The clock.
     pub clock: Clock,
-    /// Name of the lease.
+    /// The name of the lease.
     pub lease: String,
     /// How long a lease lasts, in milliseconds.
     pub lease_ttl_ms: u64,
-    /// What the user weighs.
+    /// The settings of the rebalancing policy.
     pub settings: RebalanceSettings,
 }
 
 impl Rebalancer {
-    /// Watches the group for as long as the agent runs.
+    /// Observes the group as long as the agent runs.
     pub async fn run(mut self, every_ms: u64) {
         let mut interval = tokio::time::interval(Duration::from_millis(every_ms));
         let mut policy: Option<BudgetedRebalancer> = None;
@@ -51,12 +51,12 @@
                 continue;
             }
             let policy = policy.get_or_insert_with(|| BudgetedRebalancer::new(self.settings, report.counts.len()));
-            cleaned_up = self.look(policy, &report).await;
+            cleaned_up = self.observe_interval(policy, &report).await;
         }
     }
 
-    /// Looks at one interval. Says whether no change was left half-way.
-    async fn look(&mut self, policy: &mut BudgetedRebalancer, report: &ExpertReport) -> bool {
+    /// Observes one interval and changes the map if necessary. Returns `false` if a map change was left unfinished.
+    async fn observe_interval(&mut self, policy: &mut BudgetedRebalancer, report: &ExpertReport) -> bool {
         let rank_loads = report.placement.rank_loads(&report.counts);
         metrics::gauge!("ochreyard_agent_skew_ratio").set(skew(&rank_loads));
         if let SlowStepCause::Stalled(rank) = diagnose_slow_steps(&report.rank_times_us, &rank_loads) {
@@ -67,14 +67,14 @@
         policy.observe(&report.counts);
         let (next, copies) = policy.decide(&report.placement);
         if copies > 0 && self.store.reserve(copies as u64 * report.expert_bytes).await.is_err() {
-            log::info!("event=copies_put_off copies={copies}");
+            log::info!("event=copies_postponed copies={copies}");
             return true;
         }
         next == report.placement || self.change_map(report, &next, copies).await
     }
 
-    async fn take_lease(&mut self) -> Option<HeldLease> {
-        match self.leases.take(&self.lease, self.lease_ttl_ms).await {
+    async fn acquire_lease(&mut self) -> Option<HeldLease> {
+        match self.leases.acquire(&self.lease, self.lease_ttl_ms).await {
             Ok(lease) => lease,
             Err(error) => {
                 log::warn!("event=lease_unavailable error=\"{error}\"");
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Finishes or undoes what an earlier life of this agent may have left.
+    /// Finishes or undoes a map change that an earlier incarnation of this agent may have left unfinished.
     async fn clean_up(&mut self, report: &ExpertReport) -> bool {
-        let Some(lease) = self.take_lease().await else { return false };
+        let Some(lease) = self.acquire_lease().await else { return false };
         let ranks = rank_count(&report.placement);
         let switch = MapSwitch::clean_up(SwitchSettings::default(), lease.token, ranks, self.clock.now_ms());
         let outcome = self.drive(switch, lease).await;
@@ -93,12 +93,12 @@
         outcome.is_some()
     }
 
-    /// Changes the map. Says whether that came to an end.
+    /// Changes the map. Returns `false` if the change was left unfinished.
     async fn change_map(&mut self, report: &ExpertReport, next: &Placement, copies: usize) -> bool {
-        let Some(lease) = self.take_lease().await else { return true };
+        let Some(lease) = self.acquire_lease().await else { return true };
         let map = (lease.token + 1) << MAP_BITS;
         if let Err(error) = self.endpoint.put_map(map, next).await {
-            log::warn!("event=map_not_taken error=\"{error}\"");
+            log::warn!("event=map_rejected error=\"{error}\"");
             return true;
         }
         let ranks = rank_count(next);
@@ -120,32 +120,32 @@
         outcome.is_some()
     }
 
-    /// Sends orders and takes replies until the change is over. Without
-    /// a lease nothing is sent, and the change is left to be cleaned up.
+    /// Sends orders and handles replies until the map change ends. Returns `None` if the lease lapses; the change is
+    /// then left unfinished, to be cleaned up later.
     async fn drive(&mut self, mut switch: MapSwitch, lease: HeldLease) -> Option<SwitchOutcome> {
-        let mut under_way: JoinSet<Option<RankReply>> = JoinSet::new();
+        let mut pending_replies: JoinSet<Option<RankReply>> = JoinSet::new();
         let orders = switch.start(self.clock.now_ms());
-        self.send(orders, lease, &mut under_way)?;
+        self.send(orders, lease, &mut pending_replies)?;
         let mut tick = tokio::time::interval(SWITCH_TICK);
         while switch.outcome().is_none() {
             let orders = tokio::select! {
-                Some(reply) = under_way.join_next() => match reply {
+                Some(reply) = pending_replies.join_next() => match reply {
                     Ok(Some(reply)) => switch.on_reply(reply, self.clock.now_ms()),
                     _ => Vec::new(),
                 },
                 _ = tick.tick() => switch.tick(self.clock.now_ms()),
             };
-            self.send(orders, lease, &mut under_way)?;
+            self.send(orders, lease, &mut pending_replies)?;
         }
         switch.outcome()
     }
 
-    /// Checks the lease right before each send.
+    /// Sends orders, and checks the lease immediately before each one. Returns `None` if the lease has lapsed.
     fn send(
         &self,
         orders: Vec<OrderEnvelope>,
         lease: HeldLease,
-        under_way: &mut JoinSet<Option<RankReply>>,
+        pending_replies: &mut JoinSet<Option<RankReply>>,
     ) -> Option<()> {
         for order in orders {
             if !lease.may_send(self.clock.now_ms(), LeaseMargin::default()) {
@@ -153,7 +153,7 @@
                 return None;
             }
             let endpoint = self.endpoint.clone();
-            under_way.spawn(async move { endpoint.order(&order).await.ok() });
+            pending_replies.spawn(async move { endpoint.order(&order).await.ok() });
         }
         Some(())
     }
--- a/crates/ochreyard-agent/src/serve.rs
+++ b/crates/ochreyard-agent/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the agent until its planned stop.
+//! Runs the agent until its graceful shutdown.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -18,22 +18,22 @@
 use crate::admission_actor::{AdmissionActor, CountRunning, Leave, StepTime, Tick};
 use crate::call::Agent;
 use crate::fields::SAME_AS_AGENT_ADDR;
-use crate::leases::Leases;
+use crate::leases::LeaseClient;
 use crate::ops;
 use crate::rebalancer::Rebalancer;
 
-/// How often deadlines of waiting requests are looked at.
+/// Interval at which the deadlines of queued requests are checked.
 const TICK: Duration = Duration::from_millis(50);
-/// The stream of the platform's log that holds leases.
+/// The stream of the platform's log that contains the leases.
 const LEASE_STREAM: &str = "leases";
-/// Longest wait for the platform, in milliseconds.
+/// Timeout of requests to the platform, in milliseconds.
 const PLATFORM_TIMEOUT_MS: u64 = 2_000;
 
 /// Runs the agent.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or a secret cannot be read.
+/// Returns an error if an address cannot be bound or a secret cannot be read.
 pub fn run(settings: Settings) -> Result<()> {
     start_logging(&settings).into_diagnostic()?;
     let runtime =
@@ -74,7 +74,7 @@
     let ops = ops::router(metrics, Arc::clone(&ready));
     tokio::spawn(async move { axum::serve(ops_listener, ops).await });
     tokio::spawn(tick(admission.clone()));
-    tokio::spawn(watch_load(admission.clone(), endpoint.clone(), settings.number("load_poll_ms")));
+    tokio::spawn(poll_step_time(admission.clone(), endpoint.clone(), settings.number("load_poll_ms")));
     if let Some(rebalancer) = rebalancer(&settings, clock, incarnation, endpoint)? {
         tokio::spawn(rebalancer.run(settings.number("rebalance_every_ms")));
     }
@@ -95,14 +95,14 @@
         .with_keys(settings.number("key_window_ms"), count("max_keys"))
 }
 
-/// The task that changes the group's expert map, if the settings want it.
+/// Creates the task that changes the group's expert map, if the settings enable it.
 fn rebalancer(
     settings: &Settings,
     clock: Clock,
     incarnation: Incarnation,
     endpoint: EndpointClient,
 ) -> Result<Option<Rebalancer>> {
-    let weights = match settings.text("rebalance") {
+    let rebalance_settings = match settings.text("rebalance") {
         "weigh_skew" => RebalanceSettings::weigh_skew(),
         "weigh_moves" => RebalanceSettings::weigh_moves(),
         _ => return Ok(None),
@@ -111,12 +111,12 @@
     let platform = platform.into_diagnostic()?;
     Ok(Some(Rebalancer {
         endpoint,
-        leases: Leases::new(platform.clone(), clock, incarnation),
+        leases: LeaseClient::new(platform.clone(), clock, incarnation),
         store: platform,
         clock,
         lease: format!("map/{}", settings.text("endpoint")),
         lease_ttl_ms: settings.number("lease_ttl_ms"),
-        settings: weights,
+        settings: rebalance_settings,
     }))
 }
 
@@ -130,11 +130,11 @@
     }
 }
 
-async fn watch_load(admission: ActorRef<AdmissionActor>, endpoint: EndpointClient, poll_ms: u64) {
+async fn poll_step_time(admission: ActorRef<AdmissionActor>, endpoint: EndpointClient, poll_ms: u64) {
     let mut interval = tokio::time::interval(Duration::from_millis(poll_ms));
     loop {
         interval.tick().await;
-        // An endpoint without load reports is no fault: its agent counts what runs.
+        // Load reports are optional; the agent itself counts the running requests.
         let Ok(load) = endpoint.load().await else { continue };
         if admission.tell(StepTime(load.step_us)).await.is_err() {
             return;
@@ -142,7 +142,7 @@
     }
 }
 
-/// The planned stop: no new work, and all that runs comes to its end.
+/// Shuts down gracefully: refuses new work and waits until no request is running.
 async fn drain(admission: &ActorRef<AdmissionActor>, grace_ms: u64) {
     log::info!("event=agent_leaving");
     let _ = admission.ask(Leave).await;
