--- a/crates/ochreyard-agent/src/call.rs
+++ b/crates/ochreyard-agent/src/call.rs
@@ -34,7 +34,7 @@
 }
 
 fn actor_stopped() -> CallEnd {
-    CallEnd::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission control has stopped"))
+    CallEnd::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission has ended"))
 }
 
 impl AgentHandler for Agent {
--- a/crates/ochreyard-core/src/admission.rs
+++ b/crates/ochreyard-core/src/admission.rs
@@ -333,8 +333,7 @@
         };
         let unproven = |kind: ErrorKind| Refusal::new(kind).with_run(RunStatus::MayHaveRun);
         let Some(config) = self.config.as_ref().filter(|_| self.tail_verified) else {
-            return Err(unproven(ErrorKind::Stale)
-                .with_detail("no entry has confirmed yet that the agent's configuration is the newest in the log"));
+            return Err(unproven(ErrorKind::Stale).with_detail("no entry has shown this agent the end of the log yet"));
         };
         let hash = key_hash(offer.workspace.as_str(), offer.service.as_str(), &key.key);
         let home = config.home_view(&offer.workspace, &offer.service).home_of(hash);
@@ -355,12 +354,10 @@
         }
         let overloaded = Refusal::new(ErrorKind::Overloaded).with_retry_after_ms(self.predicted_queue_wait_ms());
         if !self.may_store_data(offer) {
-            return Err(overloaded.with_detail(
-                "the workspace's data may not be stored in this data centre, so the request cannot be queued",
-            ));
+            return Err(overloaded.with_detail("the workspace's data may not wait in this data centre"));
         }
         if offer.remaining_ms <= self.predicted_queue_wait_ms() && self.mean_run_ms > 0 {
-            return Err(overloaded.with_detail("the predicted wait exceeds the request's deadline"));
+            return Err(overloaded.with_detail("it would wait past its deadline"));
         }
         self.queue
             .check_capacity(&offer.workspace)
--- a/crates/ochreyard-core/src/admission/key_store.rs
+++ b/crates/ochreyard-core/src/admission/key_store.rs
@@ -202,9 +202,7 @@
             return refusal;
         }
         let wait_ms = history.home_since_ms.saturating_add(self.retention_ms).saturating_sub(now_ms);
-        refusal
-            .with_retry_after_ms(wait_ms)
-            .with_detail("a UUIDv7 as the idempotency key would be accepted without this wait")
+        refusal.with_retry_after_ms(wait_ms).with_detail("a UUIDv7 as the key would not have to wait")
     }
 
     /// Returns since when this agent has been the home of the key without interruption.
--- a/crates/ochreyard-core/src/config/configuration.rs
+++ b/crates/ochreyard-core/src/config/configuration.rs
@@ -29,7 +29,7 @@
         version: u64,
     },
     /// The plan is too old to be checked for conflicts.
-    #[error("the base version of the plan is more than {MAX_PLAN_AGE_RECORDS} records old")]
+    #[error("the plan is older than {MAX_PLAN_AGE_RECORDS} records")]
     TooOld,
     /// The resulting configuration would be invalid.
     #[error("{0}")]
--- a/crates/ochreyard-core/src/config/configuration/validate.rs
+++ b/crates/ochreyard-core/src/config/configuration/validate.rs
@@ -38,7 +38,7 @@
                 ChangeError::new(
                     format!("stated_dead/{id}"),
                     "no such endpoint",
-                    "name an endpoint that is, or recently was, in the configuration",
+                    "name an endpoint that is, or lately was, in the configuration",
                 )
             })
             .collect();
@@ -81,7 +81,7 @@
                 errors.push(ChangeError::new(format!("{path}/token_sha256"), "is not a hash", fix));
             }
             if let Some(other) = tokens.insert(&spec.token_sha256, &spec.workspace) {
-                let problem = format!("is also the token of `{other}`");
+                let problem = format!("is the token of `{other}` too");
                 errors.push(ChangeError::new(
                     format!("{path}/token_sha256"),
                     problem,
@@ -109,7 +109,7 @@
                 errors.push(ChangeError::new(format!("{path}/slots"), "must not be 0", "write 1 or more"));
             }
             if let Some(other) = addrs.insert(spec.agent_addr, &spec.endpoint) {
-                let problem = format!("is also the agent of `{other}`");
+                let problem = format!("is the agent of `{other}` too");
                 errors.push(ChangeError::new(
                     format!("{path}/agent_addr"),
                     problem,
@@ -142,7 +142,7 @@
             errors.push(ChangeError::new(
                 format!("{path}/data_centre"),
                 problem,
-                "add it to the data centre's may_hold, or move the endpoint",
+                "add it to the place's may_hold, or move it",
             ));
         }
     }
@@ -162,6 +162,6 @@
     ChangeError::new(
         format!("{path}/{field}"),
         format!("`{name}` is unknown"),
-        format!("add it to `{list}` or correct the name"),
+        format!("add it to `{list}` or mend the name"),
     )
 }
--- a/crates/ochreyard-core/src/config/plan.rs
+++ b/crates/ochreyard-core/src/config/plan.rs
@@ -105,10 +105,10 @@
     };
     let count = change.endpoints.iter().filter(loads_model).count();
     if count > 0 {
-        costs.push(format!("{count} endpoints must load a model version that they have not loaded now"));
+        costs.push(format!("{count} endpoints must hold a model version that they do not hold today"));
     }
     if moves_homes(base, change) {
-        costs.push("idempotency keys move to another home; they are refused until their old homes acknowledge".into());
+        costs.push("idempotency keys change their home: such keys are refused until the old homes agree".into());
     }
     costs
 }
@@ -128,7 +128,7 @@
     let mut risks = Vec::new();
     for id in &change.stated_dead {
         risks.push(format!(
-            "`{id}` is treated as dead: if its box still runs and can be reached, a non-repeatable request could run twice"
+            "`{id}` is taken for dead: if its machine still runs and is reached, a request that is not repeatable could run twice"
         ));
     }
     for spec in &change.workspaces {
@@ -136,11 +136,7 @@
         let lost: Vec<&DataCentreId> = old.run_in.difference(&spec.run_in).collect();
         if !lost.is_empty() {
             let names: Vec<&str> = lost.iter().map(|dc| dc.as_str()).collect();
-            risks.push(format!(
-                "`{}` may no longer run in {}, which reduces its capacity",
-                spec.workspace,
-                names.join(", ")
-            ));
+            risks.push(format!("`{}` may no longer run in {}: less capacity", spec.workspace, names.join(", ")));
         }
     }
     for id in &change.remove.endpoints {
--- a/crates/ochreyard-core/src/frame.rs
+++ b/crates/ochreyard-core/src/frame.rs
@@ -92,13 +92,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// One or more frames before this one are missing.
-    #[error("one or more frames are missing")]
+    #[error("a frame is missing")]
     Gap,
     /// The first frame is not a head, or a later one is.
-    #[error("the head is not the first frame, or is repeated")]
+    #[error("the head is out of place")]
     HeadOutOfPlace,
     /// The number of frames or the checksum in the end frame does not match the received frames.
-    #[error("the end frame does not match the number and checksum of the received frames")]
+    #[error("the end does not match what arrived")]
     EndMismatch,
 }
 
