--- a/crates/ochreyard-core/src/direct/endpoint_pool.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool.rs
@@ -1,5 +1,5 @@
-//! The endpoints that an entry calls itself: how loaded they look from here,
-//! which of them fail, and which gets the next request.
+//! The endpoints that this entry calls directly: their load as this box estimates it, their failures, and the choice of
+//! the endpoint for each request.
 
 mod attempt_events;
 mod attempt_outcome;
@@ -43,8 +43,8 @@
 use super::homes::Homes;
 use super::shared_limit::SharingBoxes;
 
-/// After this time, what a leader told of its group says nothing more, in milliseconds.
-const NEWS_LIFE_MS: u64 = 1_500;
+/// How long a leader's report about its group is used, in milliseconds.
+const REPORT_LIFETIME_MS: u64 = 1_500;
 
 /// The endpoints known to this box.
 #[derive(Debug, Clone, Default)]
@@ -52,39 +52,40 @@
     members: HashMap<String, Member>,
     by_service: HashMap<String, Vec<String>>,
     groups: HashMap<String, Group>,
-    /// What lives have asked for that have no record now: one that lapsed may come back.
-    parted: HashMap<EndpointLife, Departed>,
-    /// The boxes that share limits.
-    sharers: SharingBoxes,
+    /// What endpoint incarnations without a record have asked for. The record of a running endpoint may expire and come
+    /// back.
+    departed: HashMap<EndpointLife, Departed>,
+    /// The boxes that share rate limits.
+    sharing_boxes: SharingBoxes,
     cold_quotas: ColdQuotas,
-    /// Data centres whose endpoints get no request.
+    /// Data centres whose endpoints get no requests.
     evacuated: BTreeSet<String>,
-    /// What is known of the way to each data centre, where attempts failed.
+    /// Whether each data centre with recent connection failures is reachable from this box.
     reach: HashMap<String, DataCentreReach>,
     /// The region of each data centre.
     regions: BTreeMap<String, String>,
-    /// Changes of limits are numbered in their order.
+    /// The version of the limits that this box knows, incremented with each change.
     limit_version: u64,
-    /// Endpoints that became known, and groups that began to stand, are numbered in their order.
-    events: u64,
+    /// The sequence number of the last event: an endpoint became known, or a group may have stalled.
+    last_event: u64,
 }
 
 impl EndpointPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Follows a change of the catalog.
+    /// Applies a change of the catalog.
     pub fn apply(&mut self, change: EndpointChange) {
         match change {
-            EndpointChange::Known(id, record) => self.put(id, record),
+            EndpointChange::Known(id, record) => self.insert_or_update(id, record),
             EndpointChange::Gone(id) => self.remove(&id),
         }
     }
 
-    fn put(&mut self, id: String, record: EndpointRecord) {
+    fn insert_or_update(&mut self, id: String, record: EndpointRecord) {
         if let Some(member) = self.members.get_mut(&id)
             && member.record.service == record.service
             && member.record.born_ms == record.born_ms
@@ -95,16 +96,16 @@
         }
         self.remove(&id);
         self.by_service.entry(record.service.clone()).or_default().push(id.clone());
-        self.events += 1;
-        let life = EndpointLife { id, born_ms: record.born_ms };
-        let before = self.parted.remove(&life).unwrap_or_default();
-        let cold = self.cold_bound(&life.id, &record.service);
-        let mut member = Member::new(record, self.events, before, cold);
+        self.last_event += 1;
+        let incarnation = EndpointLife { id, born_ms: record.born_ms };
+        let kept_state = self.departed.remove(&incarnation).unwrap_or_default();
+        let cold = self.new_cold_limit(&incarnation.id, &record.service);
+        let mut member = Member::new(record, self.last_event, kept_state, cold);
         member.is_evacuated = self.evacuated.contains(&member.record.data_centre);
-        self.members.insert(life.id, member);
+        self.members.insert(incarnation.id, member);
     }
 
-    /// Endpoints of these data centres get no request from now on, those of all others do.
+    /// Replaces the set of evacuated data centres. Endpoints in these data centres get no new requests.
     pub fn set_evacuated_data_centres<'a>(&mut self, data_centres: impl Iterator<Item = &'a str>) {
         self.evacuated = data_centres.map(str::to_owned).collect();
         for member in self.members.values_mut() {
@@ -117,56 +118,58 @@
         self.regions = regions;
     }
 
-    /// How many endpoints of a service are not at home for requests with these homes.
+    /// Returns the number of endpoints of a service that lie outside the regions in which a request may run.
     #[must_use]
-    pub fn endpoints_outside_regions(&self, service: &str, homes: &Homes) -> usize {
-        self.of_service(service).filter(|(_, member)| !self.is_home(homes, member)).count()
+    pub fn endpoints_outside_regions(&self, service: &str, allowed_regions: &Homes) -> usize {
+        self.members_of_service(service)
+            .filter(|(_, member)| !self.is_in_allowed_region(allowed_regions, member))
+            .count()
     }
 
-    fn is_home(&self, homes: &Homes, member: &Member) -> bool {
-        homes.allow(self.regions.get(&member.record.data_centre).map(String::as_str))
+    fn is_in_allowed_region(&self, allowed_regions: &Homes, member: &Member) -> bool {
+        allowed_regions.allow(self.regions.get(&member.record.data_centre).map(String::as_str))
     }
 
-    /// The data centres whose endpoints get no request, in the order of their names.
+    /// The evacuated data centres, sorted by name.
     pub fn evacuated_data_centres(&self) -> impl Iterator<Item = &str> {
         self.evacuated.iter().map(String::as_str)
     }
 
     fn remove(&mut self, id: &str) {
         let Some(member) = self.members.remove(id) else { return };
-        let parted = Departed { notice: member.notice, limit: member.limit };
-        if !parted.is_empty() {
-            let life = EndpointLife { id: id.to_owned(), born_ms: member.record.born_ms };
-            self.parted.insert(life, parted);
+        let departed = Departed { notice: member.notice, limit: member.limit };
+        if !departed.is_empty() {
+            let incarnation = EndpointLife { id: id.to_owned(), born_ms: member.record.born_ms };
+            self.departed.insert(incarnation, departed);
         }
         if let Some(ids) = self.by_service.get_mut(&member.record.service) {
             ids.retain(|other| other != id);
         }
     }
 
-    /// The record of an endpoint, if it is known.
+    /// Returns the record of an endpoint, if the endpoint is known.
     #[must_use]
     pub fn record(&self, id: &str) -> Option<&EndpointRecord> {
         self.members.get(id).map(|member| &member.record)
     }
 
-    fn of_service(&self, service: &str) -> impl Iterator<Item = (&str, &Member)> {
+    fn members_of_service(&self, service: &str) -> impl Iterator<Item = (&str, &Member)> {
         let ids = self.by_service.get(service).into_iter().flatten();
         ids.filter_map(|id| self.members.get(id).map(|member| (id.as_str(), member)))
     }
 
-    /// The endpoints of a service, each with its record.
+    /// The endpoints of a service with their records.
     pub fn endpoints(&self, service: &str) -> impl Iterator<Item = (&str, &EndpointRecord)> {
-        self.of_service(service).map(|(id, member)| (id, &member.record))
+        self.members_of_service(service).map(|(id, member)| (id, &member.record))
     }
 
-    /// The endpoint that was picked, if it still lives the same life.
-    fn picked(&self, pick: &Pick) -> Option<&Member> {
+    /// Returns the endpoint that was picked, unless it has been replaced by another incarnation.
+    fn picked_member(&self, pick: &Pick) -> Option<&Member> {
         self.members.get(&pick.id).filter(|member| member.record.born_ms == pick.started_ms)
     }
 
-    /// The same, to be changed.
-    fn member_of(&mut self, pick: &Pick) -> Option<&mut Member> {
+    /// Like [`Self::picked_member`], with mutable access.
+    fn picked_member_mut(&mut self, pick: &Pick) -> Option<&mut Member> {
         self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.started_ms)
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/attempt_events.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/attempt_events.rs
@@ -1,62 +1,63 @@
-//! What attempts tell of endpoints: that they are under way, how they end, what answers say.
+//! Updates of the pool from attempts: when they start, how they end, and what the responses report about the endpoint.
 
 use super::{AttemptOutcome, AvailabilityNotice, EndpointPool, Member, Pick, UnavailableCounts};
 use crate::direct::endpoint_signals::EndpointSignals;
 
 impl EndpointPool {
-    /// An attempt is on its way.
+    /// Records that an attempt has started.
     pub fn on_attempt_start(&mut self, pick: &Pick) {
-        if let Some(member) = self.member_of(pick) {
-            member.on_start(pick.urgency);
+        if let Some(member) = self.picked_member_mut(pick) {
+            member.on_attempt_start(pick.urgency);
         }
     }
 
-    /// An attempt has ended. One at a life before says nothing of the present one.
+    /// Records that an attempt has ended. An attempt at an earlier incarnation does not count for the current one.
     pub fn on_attempt_end(&mut self, pick: &Pick, outcome: AttemptOutcome, now_ms: u64) {
         if outcome == AttemptOutcome::Unreachable {
-            self.note_unreachable(pick, now_ms);
+            self.record_unreachable(pick, now_ms);
         }
-        if let Some(member) = self.member_of(pick) {
-            member.on_end(pick.urgency, outcome, now_ms);
+        if let Some(member) = self.picked_member_mut(pick) {
+            member.on_attempt_end(pick.urgency, outcome, now_ms);
         }
     }
 
-    fn note_unreachable(&mut self, pick: &Pick, now_ms: u64) {
-        let Some(member) = self.picked(pick) else { return };
+    fn record_unreachable(&mut self, pick: &Pick, now_ms: u64) {
+        let Some(member) = self.picked_member(pick) else { return };
         let data_centre = member.record.data_centre.clone();
         self.reach.entry(data_centre).or_default().on_unreachable(&pick.id, now_ms);
     }
 
-    /// An endpoint was heard: a head, an event, any byte of an answer.
+    /// Records that bytes of a response arrived from an endpoint.
     pub fn on_response_bytes(&mut self, id: &str, now_ms: u64) {
         if let Some(member) = self.members.get_mut(id) {
-            member.on_heard(now_ms);
+            member.on_activity(now_ms);
             self.reach.remove(&member.record.data_centre);
         }
     }
 
-    /// Whether an endpoint has said nothing for so long, neither to this box nor to its
-    /// leader, or is gone.
+    /// Returns whether an endpoint has been silent for at least `for_ms`, both to this box and to its leader, or is
+    /// gone.
     #[must_use]
     pub fn is_silent(&self, id: &str, for_ms: u64, now_ms: u64) -> bool {
         self.members.get(id).is_none_or(|member| member.is_silent(for_ms, now_ms))
     }
 
-    /// An endpoint that was picked told of itself. What a life before tells says nothing of the present one.
+    /// Applies what the picked endpoint reported about itself in a response. A report of an earlier incarnation does
+    /// not count for the current one.
     pub fn on_signals(&mut self, pick: &Pick, signals: &EndpointSignals, now_ms: u64) {
         if let Some(load) = signals.load
-            && let Some(member) = self.member_of(pick)
+            && let Some(member) = self.picked_member_mut(pick)
         {
             member.on_load(load, now_ms);
         }
         if signals.backoff_ms.is_none() && !signals.is_leaving {
             return;
         }
-        self.parted.retain(|_, parted| parted.is_recent(now_ms));
+        self.departed.retain(|_, departed| departed.is_retained(now_ms));
         if let Some(backoff_ms) = signals.backoff_ms {
-            match self.member_of(pick) {
+            match self.picked_member_mut(pick) {
                 Some(member) => member.on_backoff(backoff_ms, now_ms),
-                None => self.parted.entry(pick.incarnation()).or_default().notice.on_backoff(backoff_ms, now_ms),
+                None => self.departed.entry(pick.incarnation()).or_default().notice.on_backoff(backoff_ms, now_ms),
             }
         }
         if signals.is_leaving {
@@ -64,55 +65,55 @@
         }
     }
 
-    /// What the picked life of an endpoint has asked for.
+    /// Returns what the picked incarnation has asked for in its responses.
     #[must_use]
     pub fn availability_notice(&self, pick: &Pick) -> AvailabilityNotice {
-        let member = self.picked(pick);
-        let parted = || self.parted.get(&pick.incarnation()).map(|parted| parted.notice);
-        member.map(|member| member.notice).or_else(parted).unwrap_or_default()
+        let member = self.picked_member(pick);
+        let departed = || self.departed.get(&pick.incarnation()).map(|departed| departed.notice);
+        member.map(|member| member.notice).or_else(departed).unwrap_or_default()
     }
 
     fn availability_notice_mut(&mut self, pick: &Pick) -> &mut AvailabilityNotice {
         let member = self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.started_ms);
         match member {
             Some(member) => &mut member.notice,
-            None => &mut self.parted.entry(pick.incarnation()).or_default().notice,
+            None => &mut self.departed.entry(pick.incarnation()).or_default().notice,
         }
     }
 
-    /// Whether a request may still be sent to the endpoint that was picked for it: what it or its record says may have
-    /// changed while a connection came up.
+    /// Returns whether the request may still be sent to the endpoint that was picked for it. The endpoint may have
+    /// asked for a backoff, or its record may have changed, while the connection was being opened.
     #[must_use]
     pub fn accepts_requests(&self, pick: &Pick, now_ms: u64) -> bool {
-        self.picked(pick).is_some_and(|member| member.accepts_requests(now_ms))
+        self.picked_member(pick).is_some_and(|member| member.accepts_requests(now_ms))
     }
 
-    /// Whether an endpoint that was picked has left since, or is about to.
+    /// Returns whether the endpoint that was picked is gone or is about to leave.
     #[must_use]
     pub fn is_gone_or_leaving(&self, pick: &Pick) -> bool {
-        self.picked(pick).is_none_or(Member::is_leaving)
+        self.picked_member(pick).is_none_or(Member::is_leaving)
     }
 
-    /// How many endpoints of a service ask this box for something.
+    /// Counts the endpoints of a service that currently accept no new requests from this box.
     #[must_use]
     pub fn unavailable_counts(&self, service: &str, now_ms: u64) -> UnavailableCounts {
         let is_paused = |member: &Member| member.takes_work() && !member.accepts_requests(now_ms);
         UnavailableCounts {
-            paused: self.of_service(service).filter(|(_, member)| is_paused(member)).count(),
-            leaving: self.of_service(service).filter(|(_, member)| member.is_leaving()).count(),
+            paused: self.members_of_service(service).filter(|(_, member)| is_paused(member)).count(),
+            leaving: self.members_of_service(service).filter(|(_, member)| member.is_leaving()).count(),
         }
     }
 
-    /// An endpoint has taken a request.
+    /// Records that an endpoint has accepted a request.
     pub fn on_accepted(&mut self, pick: &Pick, now_ms: u64) {
-        if let Some(member) = self.member_of(pick) {
+        if let Some(member) = self.picked_member_mut(pick) {
             member.on_accepted(now_ms);
         }
     }
 
-    /// The head of an answer has come, or the attempt has ended without one.
+    /// Records that the response head has arrived, or that the attempt has ended without one.
     pub fn on_answered(&mut self, pick: &Pick) {
-        if let Some(member) = self.member_of(pick) {
+        if let Some(member) = self.picked_member_mut(pick) {
             member.on_answered();
         }
     }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/attempt_outcome.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/attempt_outcome.rs
@@ -1,16 +1,16 @@
-//! What an attempt tells of its endpoint.
+//! The outcome of an attempt for the statistics of its endpoint.
 
-/// How one attempt at an endpoint ended, as far as it tells of the endpoint.
+/// How an attempt ended, as far as this concerns the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered as it should.
+    /// The endpoint answered successfully.
     Success,
-    /// It answered with a failure of its own, or an answer that was not whole.
+    /// The endpoint answered with an error of its own or with an incomplete response.
     Failed,
-    /// It said that it has no room.
+    /// The endpoint rejected the request because it has no capacity.
     Full,
-    /// It could not be reached or fell silent.
+    /// The endpoint could not be reached, or stopped responding.
     Unreachable,
-    /// Nothing is known: the caller went away, or the time ran out.
+    /// The outcome is unknown because the caller left or the deadline passed.
     Unknown,
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/availability_notice.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/availability_notice.rs
@@ -1,65 +1,65 @@
-//! What one life of an endpoint has asked for in its answers.
+//! What one incarnation of an endpoint has asked for in its responses.
 
-/// How long it is kept for a life whose record is gone, in milliseconds: longer than any outage of the log that was
-/// planned for, and short enough that lives that are over do not add up.
-const PARTED_LIFE_MS: u64 = 600_000;
+/// How long a notice is kept for an incarnation without a record, in milliseconds: longer than any planned log outage,
+/// and short enough that notices of ended incarnations do not pile up.
+const RETENTION_MS: u64 = 600_000;
 
-/// What one life of an endpoint has asked for in its answers.
+/// The backoff or departure that one incarnation of an endpoint has announced in its responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AvailabilityNotice {
-    /// Until when it wants no request from this box.
+    /// The time until which the endpoint wants no requests from this box.
     backoff_until_ms: u64,
-    /// When it last asked for that.
-    asked_ms: Option<u64>,
-    /// Whether it leaves, by its own word: nothing takes that back.
+    /// The time of the last request for a backoff.
+    backoff_requested_ms: Option<u64>,
+    /// Whether the endpoint has announced that it is leaving. This cannot be withdrawn.
     is_leaving: bool,
-    /// When it last asked for anything.
-    told_ms: u64,
+    /// The time of the last announcement of either kind.
+    announced_ms: u64,
 }
 
 impl AvailabilityNotice {
-    /// It wants no request for so long. A shorter time than was asked for before takes nothing back: each answer
-    /// stands for itself, and a later one may have been made before an earlier one.
+    /// Records that the endpoint wants no requests for `backoff_ms`. A shorter backoff does not replace a longer one,
+    /// since responses are independent of each other and can arrive out of order.
     pub fn on_backoff(&mut self, backoff_ms: u64, now_ms: u64) {
         self.backoff_until_ms = self.backoff_until_ms.max(now_ms + backoff_ms);
-        self.asked_ms = Some(now_ms);
-        self.told_ms = now_ms;
+        self.backoff_requested_ms = Some(now_ms);
+        self.announced_ms = now_ms;
     }
 
-    /// It leaves.
+    /// Records that the endpoint is leaving.
     pub const fn on_leaving(&mut self, now_ms: u64) {
         self.is_leaving = true;
-        self.told_ms = now_ms;
+        self.announced_ms = now_ms;
     }
 
-    /// Whether it leaves, by its own word.
+    /// Returns whether the endpoint has announced that it is leaving.
     #[must_use]
     pub const fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Whether it has ever asked for a pause.
+    /// Returns whether the endpoint has ever asked for a backoff.
     #[must_use]
     pub const fn has_requested_backoff(&self) -> bool {
-        self.asked_ms.is_some()
+        self.backoff_requested_ms.is_some()
     }
 
-    /// Until when it wants no request; `None` if it wants some.
+    /// Returns the end of the current backoff, or `None` if the endpoint accepts requests.
     #[must_use]
     pub fn backoff_until_ms(&self, now_ms: u64) -> Option<u64> {
         (now_ms < self.backoff_until_ms).then_some(self.backoff_until_ms)
     }
 
-    /// Whether it may still matter for a life whose record is gone: a record that lapsed comes back within seconds of
-    /// the log's return.
+    /// Returns whether the notice must be kept for an incarnation without a record. An expired record comes back within
+    /// seconds after the log is available again.
     #[must_use]
-    pub const fn is_recent(&self, now_ms: u64) -> bool {
-        now_ms < self.told_ms + PARTED_LIFE_MS || now_ms < self.backoff_until_ms
+    pub const fn is_retained(&self, now_ms: u64) -> bool {
+        now_ms < self.announced_ms + RETENTION_MS || now_ms < self.backoff_until_ms
     }
 
-    /// How long ago it last asked for a pause, in milliseconds.
+    /// Returns the time since the last request for a backoff, in milliseconds.
     #[must_use]
     pub fn backoff_request_age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.asked_ms.map(|asked_ms| now_ms.saturating_sub(asked_ms))
+        self.backoff_requested_ms.map(|backoff_requested_ms| now_ms.saturating_sub(backoff_requested_ms))
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/cold_limit.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/cold_limit.rs
@@ -1,82 +1,83 @@
-//! What an endpoint bears while it is cold, as this box keeps to it.
+//! The rate limit of a cold endpoint, as this box enforces its share of it.
 
 use crate::direct::shared_limit::{Quota, QuotaShare, ShareRank};
 
-/// An endpoint that could not be reached may have turned cold meanwhile. What it writes of itself is known within this
-/// time after its return, in milliseconds: it writes about once a second, and boxes read that within another one.
+/// How long an endpoint that was unreachable may be cold without this box knowing, in milliseconds: it writes its
+/// record about once a second, and boxes read the record within another second.
 const UNCONFIRMED_MS: u64 = 3_000;
 
-/// The bound on what one endpoint gets while it is cold, from all boxes together.
+/// The limit on the requests that one cold endpoint gets from all boxes together.
 ///
-/// Requests count also while it is warm: it may turn cold at any moment, and those of the second before are then the first
-/// that it has to bear.
+/// Requests to a warm endpoint are counted too: it can become cold at any moment, and then has to serve the requests of
+/// the previous second as well.
 #[derive(Debug, Clone)]
 pub struct ColdLimit {
-    /// `None` where its service names no bound.
+    /// `None` if the service has no limit for cold endpoints.
     quota: Option<Quota>,
-    part: QuotaShare,
-    /// When this process started: what one before it sent is not known.
+    share: QuotaShare,
+    /// The start time of this process. Requests that an earlier process sent are unknown.
     started_ms: u64,
-    /// Until when it said that it stays cold.
+    /// The end of the cold phase that the endpoint has announced.
     cold_until_ms: u64,
-    /// Until when it may be cold without having said so.
+    /// The time until which the endpoint may be cold without having announced it.
     unconfirmed_until_ms: u64,
 }
 
 impl ColdLimit {
-    /// The bound of an endpoint that is warm, as far as known, to a box at `place` that started at `started_ms`.
-    pub const fn new(quota: Option<Quota>, place: ShareRank, started_ms: u64) -> Self {
-        Self { quota, part: QuotaShare::new(place), started_ms, cold_until_ms: 0, unconfirmed_until_ms: 0 }
+    /// Creates the limit of an endpoint that is not known to be cold, for a box at `share_rank` that started at
+    /// `started_ms`.
+    pub const fn new(quota: Option<Quota>, share_rank: ShareRank, started_ms: u64) -> Self {
+        Self { quota, share: QuotaShare::new(share_rank), started_ms, cold_until_ms: 0, unconfirmed_until_ms: 0 }
     }
 
-    /// Its service names another bound, or none.
+    /// Replaces the quota. `None` removes the limit.
     pub const fn set_quota(&mut self, quota: Option<Quota>) {
         self.quota = quota;
     }
 
-    /// Whether its service names a bound.
-    pub const fn is_bounded(&self) -> bool {
+    /// Returns whether the service limits cold endpoints.
+    pub const fn is_limited(&self) -> bool {
         self.quota.is_some()
     }
 
-    /// Other boxes share it.
-    pub const fn set_share_rank(&mut self, place: ShareRank) {
-        self.part.set_share_rank(place);
+    /// Replaces the position of this box among the boxes that share the limit.
+    pub const fn set_share_rank(&mut self, share_rank: ShareRank) {
+        self.share.set_share_rank(share_rank);
     }
 
-    /// It stays cold for so long.
+    /// Records that the endpoint stays cold for `cold_ms`.
     pub fn on_cold(&mut self, cold_ms: u64, now_ms: u64) {
         self.cold_until_ms = self.cold_until_ms.max(now_ms + cold_ms);
     }
 
-    /// It comes back at `back_ms`, and whether it is cold then is not known yet.
-    pub fn on_possible_restart(&mut self, back_ms: u64) {
-        self.unconfirmed_until_ms = self.unconfirmed_until_ms.max(back_ms + UNCONFIRMED_MS);
+    /// Records that the endpoint becomes reachable again at `reachable_from_ms` and may be cold then.
+    pub fn on_possible_restart(&mut self, reachable_from_ms: u64) {
+        self.unconfirmed_until_ms = self.unconfirmed_until_ms.max(reachable_from_ms + UNCONFIRMED_MS);
     }
 
-    /// How much longer it stays cold, as it said, in milliseconds.
-    pub const fn left_ms(&self, now_ms: u64) -> u64 {
+    /// Returns the rest of the announced cold phase, in milliseconds.
+    pub const fn remaining_ms(&self, now_ms: u64) -> u64 {
         self.cold_until_ms.saturating_sub(now_ms)
     }
 
-    /// When this box may send it the next request, beside `unsent` that were picked and are not sent yet; `None` where
-    /// nothing binds.
+    /// Returns the earliest time for the next request of this box, in addition to `unsent` requests that were picked
+    /// but not sent yet. Returns `None` if no limit applies.
     pub fn next_send_ms(&self, unsent: u64, now_ms: u64) -> Option<u64> {
         let until_ms = self.cold_until_ms.max(self.unconfirmed_until_ms);
         let quota = self.quota.filter(|_| now_ms < until_ms)?;
-        let free_ms = self.part.next_send_ms(quota, unsent, now_ms).unwrap_or(until_ms);
-        Some(free_ms.max(self.started_ms + quota.window_ms).min(until_ms))
+        let next_ms = self.share.next_send_ms(quota, unsent, now_ms).unwrap_or(until_ms);
+        Some(next_ms.max(self.started_ms + quota.window_ms).min(until_ms))
     }
 
-    /// A request is sent.
+    /// Counts a request as sent.
     pub fn on_sent(&mut self, now_ms: u64) {
         if let Some(quota) = self.quota {
-            self.part.on_sent(quota.window_ms, now_ms);
+            self.share.on_sent(quota.window_ms, now_ms);
         }
     }
 
-    /// A request that counts as sent at `sent_ms` never reached the endpoint.
+    /// Removes a request that was counted at `sent_ms` but never reached the endpoint.
     pub fn undo_send(&mut self, sent_ms: u64) {
-        self.part.undo_send(sent_ms);
+        self.share.undo_send(sent_ms);
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/cold_limits.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/cold_limits.rs
@@ -1,4 +1,4 @@
-//! What endpoints bear while they are cold, as this box keeps to it.
+//! The rate limits of cold endpoints, by service.
 
 use std::collections::HashMap;
 
@@ -7,17 +7,16 @@
 use crate::direct::route_table::{ColdFigures, RouteTable};
 use crate::direct::shared_limit::{Quota, ShareRank};
 
-/// The span over which the arrivals at a cold endpoint are summed, in milliseconds.
+/// The window over which requests to a cold endpoint are counted, in milliseconds.
 const SPAN_MS: u64 = 1_000;
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// Bounds for cold endpoints, by service.
+/// The quotas of cold endpoints, by service.
 #[derive(Debug, Clone)]
 pub(super) struct ColdQuotas {
-    /// How much more than they bear cold endpoints may get, as a factor.
+    /// The factor by which the quota may exceed the rate that a cold endpoint can serve.
     overage: f64,
-    /// When this process started.
+    /// The start time of this process.
     started_ms: u64,
     by_service: HashMap<String, Quota>,
 }
@@ -29,56 +28,58 @@
 }
 
 impl ColdQuotas {
-    fn of(&self, service: &str) -> Option<Quota> {
+    fn for_service(&self, service: &str) -> Option<Quota> {
         self.by_service.get(service).copied()
     }
 
-    fn quota(&self, figures: ColdFigures) -> Quota {
+    fn quota_for(&self, figures: ColdFigures) -> Quota {
         let count = figures.requests_per_s * self.overage * SPAN_MS as f64 / MS_PER_S;
         Quota::for_span((count as u64).max(1), SPAN_MS)
     }
 }
 
 impl EndpointPool {
-    /// Cold endpoints may get `overage` times what they bear. What the platform allows beyond that is left to boxes that do
-    /// not know yet that an endpoint is cold. This process started at `started_ms`.
+    /// Lets cold endpoints get `overage` times the rate that they can serve. What the platform allows beyond that is
+    /// left for boxes that do not know yet that an endpoint is cold. `started_ms` is the start time of this process.
     pub const fn set_cold_overage(&mut self, overage: f64, started_ms: u64) {
         self.cold_quotas.overage = overage;
         self.cold_quotas.started_ms = started_ms;
     }
 
-    pub(super) fn cold_bound(&self, id: &str, service: &str) -> ColdLimit {
-        let quota = self.cold_quotas.of(service);
-        // Finding the place takes a look at all boxes.
-        let place = if quota.is_some() { self.sharers.share_rank(id) } else { ShareRank { rank: 0, boxes: 1 } };
-        ColdLimit::new(quota, place, self.cold_quotas.started_ms)
+    pub(super) fn new_cold_limit(&self, id: &str, service: &str) -> ColdLimit {
+        let quota = self.cold_quotas.for_service(service);
+        // Computing the rank iterates over all boxes.
+        let share_rank =
+            if quota.is_some() { self.sharing_boxes.share_rank(id) } else { ShareRank { rank: 0, boxes: 1 } };
+        ColdLimit::new(quota, share_rank, self.cold_quotas.started_ms)
     }
 
-    /// Follows the bounds that a configuration names.
+    /// Applies the limits of a configuration.
     pub fn set_cold_limits(&mut self, table: &RouteTable) {
-        let bounded = table.services().filter_map(|service| Some((service, service.cold?)));
-        let by_service =
-            bounded.map(|(service, figures)| (service.name.clone(), self.cold_quotas.quota(figures))).collect();
+        let limited_services = table.services().filter_map(|service| Some((service, service.cold?)));
+        let by_service = limited_services
+            .map(|(service, figures)| (service.name.clone(), self.cold_quotas.quota_for(figures)))
+            .collect();
         self.cold_quotas.by_service = by_service;
         for (id, member) in &mut self.members {
-            let quota = self.cold_quotas.of(&member.record.service);
-            if quota.is_some() && !member.cold.is_bounded() {
-                member.cold.set_share_rank(self.sharers.share_rank(id));
+            let quota = self.cold_quotas.for_service(&member.record.service);
+            if quota.is_some() && !member.cold.is_limited() {
+                member.cold.set_share_rank(self.sharing_boxes.share_rank(id));
             }
             member.cold.set_quota(quota);
         }
     }
 
-    /// An endpoint said that it stays cold for so long.
+    /// Records that an endpoint stays cold for `cold_ms`.
     pub fn on_cold(&mut self, id: &str, cold_ms: u64, now_ms: u64) {
         if let Some(member) = self.members.get_mut(id) {
             member.cold.on_cold(cold_ms, now_ms);
         }
     }
 
-    /// How many endpoints of a service are cold, as far as known.
+    /// Returns how many endpoints of a service are known to be cold.
     #[must_use]
     pub fn cold_endpoints(&self, service: &str, now_ms: u64) -> usize {
-        self.of_service(service).filter(|(_, member)| member.cold.left_ms(now_ms) > 0).count()
+        self.members_of_service(service).filter(|(_, member)| member.cold.remaining_ms(now_ms) > 0).count()
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
@@ -1,141 +1,144 @@
-//! What this box knows of a group of endpoints whose ranks run every step together.
+//! The state of a group of endpoints whose ranks run each step together.
 
-use super::NEWS_LIFE_MS;
+use super::REPORT_LIFETIME_MS;
 use crate::direct::group_news::{GroupNews, RankNews, TellerRole};
 
-/// How long a group is passed over after one of its ranks told that another one
-/// is at fault, in milliseconds; its leader knows more by then.
-const FAULT_PAUSE_MS: u64 = 600;
+/// How long a group is avoided after one of its ranks reported a fault of another rank, in milliseconds. Its leader has
+/// a better view by then.
+const FAULT_AVOID_MS: u64 = 600;
 
-/// How long a group is passed over after one of its ranks crashed, in milliseconds: its leader tells 0.55 to 0.8 s after
-/// that it stands, and the rank needs seconds to start again. Requests that were sent there meanwhile stood for
-/// 1.5 s at their ranks and were then rejected.
-const CRASH_PAUSE_MS: u64 = 1_000;
+/// How long a group is avoided after one of its ranks crashed, in milliseconds. Its leader reports the stall 0.55 to
+/// 0.8 s after the crash, and the rank needs seconds to restart. Requests that were sent to the group in the meantime
+/// waited 1.5 s at their ranks and were then rejected.
+const CRASH_AVOID_MS: u64 = 1_000;
 
-/// Without a word of a leader for this long, a group counts as led by nobody, in
-/// milliseconds: three times the pause between its words, and more than a lease.
-const LED_SILENCE_MS: u64 = 900;
+/// How long after the last report of its leader a group counts as leaderless, in milliseconds: three times the interval
+/// of the reports, and longer than a lease.
+const LEADER_TIMEOUT_MS: u64 = 900;
 
-/// One group, as its leader and its ranks told of it.
+/// One group, as reported by its leader and its ranks.
 #[derive(Debug, Clone)]
 pub struct Group {
     is_serving: bool,
     step_ms: u64,
-    told_ms: u64,
+    reported_ms: u64,
     fault_until_ms: u64,
-    led_ms: Option<u64>,
-    observed_ms: Option<u64>,
-    /// The number of the event by which it last began to stand.
-    stood: u64,
-    /// The names of its ranks, in the order in which their loads are told.
+    leader_reported_ms: Option<u64>,
+    observer_reported_ms: Option<u64>,
+    /// The number of the event at which the group last stalled.
+    stalled_at_event: u64,
+    /// The names of the ranks, in the order in which their loads are reported.
     roster: Vec<String>,
-    /// Ranks of which loads came last whose names are not known here.
-    unnamed: usize,
+    /// The number of ranks in the last report of loads, if their names are not known to this box.
+    unnamed_ranks: usize,
 }
 
 impl Group {
-    /// A group of which nobody has told anything yet.
+    /// Creates a group without reports.
     pub const fn new(now_ms: u64) -> Self {
         Self {
             is_serving: true,
             step_ms: 0,
-            told_ms: now_ms,
+            reported_ms: now_ms,
             fault_until_ms: 0,
-            led_ms: None,
-            observed_ms: None,
-            stood: 0,
+            leader_reported_ms: None,
+            observer_reported_ms: None,
+            stalled_at_event: 0,
             roster: Vec::new(),
-            unnamed: 0,
+            unnamed_ranks: 0,
         }
     }
 
-    /// Takes what was told of it. Says whether that counts: an observer knows less than a leader.
-    pub fn on_news(&mut self, news: &GroupNews, event: u64, now_ms: u64) -> bool {
-        match news.teller {
-            TellerRole::Leads => self.led_ms = Some(now_ms),
-            TellerRole::Observes if self.is_led(now_ms) => return false,
-            TellerRole::Observes => self.observed_ms = Some(now_ms),
+    /// Applies a report about the group. Returns whether it counts: the report of an observer is ignored while the
+    /// group has a leader.
+    pub fn apply_update(&mut self, update: &GroupNews, event: u64, now_ms: u64) -> bool {
+        match update.teller {
+            TellerRole::Leads => self.leader_reported_ms = Some(now_ms),
+            TellerRole::Observes if self.has_leader(now_ms) => return false,
+            TellerRole::Observes => self.observer_reported_ms = Some(now_ms),
             TellerRole::StoodDown => {
-                self.led_ms = None;
+                self.leader_reported_ms = None;
                 return false;
             }
         }
-        if !news.is_serving {
-            self.note_stand(event, now_ms);
+        if !update.is_serving {
+            self.record_stall(event, now_ms);
         }
-        self.is_serving = news.is_serving;
-        self.step_ms = news.step_ms;
-        self.told_ms = now_ms;
+        self.is_serving = update.is_serving;
+        self.step_ms = update.step_ms;
+        self.reported_ms = now_ms;
         true
     }
 
-    /// The ranks that news tell of, with their names.
-    pub fn ranks_of(&mut self, news: &GroupNews) -> Vec<RankNews> {
-        let Some(loads) = &news.loads else {
-            self.roster = news.ranks.iter().map(|rank| rank.endpoint.clone()).collect();
-            self.unnamed = 0;
-            return news.ranks.clone();
+    /// Returns the reported ranks with their names.
+    pub fn named_ranks(&mut self, update: &GroupNews) -> Vec<RankNews> {
+        let Some(loads) = &update.loads else {
+            self.roster = update.ranks.iter().map(|rank| rank.endpoint.clone()).collect();
+            self.unnamed_ranks = 0;
+            return update.ranks.clone();
         };
         let named = loads.named(&self.roster);
-        self.unnamed = if named.is_none() { loads.len() } else { 0 };
+        self.unnamed_ranks = if named.is_none() { loads.len() } else { 0 };
         named.unwrap_or_default()
     }
 
-    /// Ranks whose leader is heard, and has not told this box their names yet.
-    pub const fn unnamed(&self, now_ms: u64) -> usize {
-        if self.is_silent(now_ms) { 0 } else { self.unnamed }
+    /// Returns the number of ranks whose leader is reporting but has not told this box their names yet.
+    pub const fn unnamed_ranks(&self, now_ms: u64) -> usize {
+        if self.is_silent(now_ms) { 0 } else { self.unnamed_ranks }
     }
 
-    /// How many ranks it has, as far as known; none where nobody has told of them.
+    /// Returns the number of ranks, or 0 if no report has named any.
     pub fn size(&self) -> usize {
-        self.roster.len().max(self.unnamed)
+        self.roster.len().max(self.unnamed_ranks)
     }
 
-    /// Notes by which event it began to stand, if it went on until then.
-    const fn note_stand(&mut self, event: u64, now_ms: u64) {
+    /// Records the event at which the group stalled, unless it was stalled already.
+    const fn record_stall(&mut self, event: u64, now_ms: u64) {
         if self.is_serving(now_ms) {
-            self.stood = event;
+            self.stalled_at_event = event;
         }
     }
 
-    /// The number of the event by which it last began to stand.
-    pub const fn stood(&self) -> u64 {
-        self.stood
+    /// Returns the number of the event at which the group last stalled.
+    pub const fn stalled_at_event(&self) -> u64 {
+        self.stalled_at_event
     }
 
-    fn is_led(&self, now_ms: u64) -> bool {
-        self.led_ms.is_some_and(|led_ms| now_ms < led_ms + LED_SILENCE_MS)
+    fn has_leader(&self, now_ms: u64) -> bool {
+        self.leader_reported_ms.is_some_and(|leader_reported_ms| now_ms < leader_reported_ms + LEADER_TIMEOUT_MS)
     }
 
-    /// Whether nobody leads it, as far as known, and nobody watches whether it may be led.
-    pub fn is_unled(&self, now_ms: u64) -> bool {
-        let is_observed = self.observed_ms.is_some_and(|observed_ms| now_ms < observed_ms + LED_SILENCE_MS);
-        !self.is_led(now_ms) && !is_observed
+    /// Returns whether the group is neither led nor watched by an observer that checks whether it can be led.
+    pub fn is_leaderless(&self, now_ms: u64) -> bool {
+        let is_observed = self
+            .observer_reported_ms
+            .is_some_and(|observer_reported_ms| now_ms < observer_reported_ms + LEADER_TIMEOUT_MS);
+        !self.has_leader(now_ms) && !is_observed
     }
 
-    /// One of its ranks told that another one is at fault.
+    /// Records that one rank reported a fault of another rank.
     pub fn on_fault(&mut self, event: u64, now_ms: u64) {
-        self.note_stand(event, now_ms);
-        self.fault_until_ms = self.fault_until_ms.max(now_ms + FAULT_PAUSE_MS);
+        self.record_stall(event, now_ms);
+        self.fault_until_ms = self.fault_until_ms.max(now_ms + FAULT_AVOID_MS);
     }
 
-    /// One of its ranks crashed at `at_ms`.
+    /// Records that one of the ranks crashed at `at_ms`.
     pub fn on_crash(&mut self, event: u64, at_ms: u64) {
-        self.note_stand(event, at_ms);
-        self.fault_until_ms = self.fault_until_ms.max(at_ms + CRASH_PAUSE_MS);
+        self.record_stall(event, at_ms);
+        self.fault_until_ms = self.fault_until_ms.max(at_ms + CRASH_AVOID_MS);
     }
 
-    /// How long its steps take of late, in milliseconds, as far as known.
+    /// Returns the recent duration of a step in milliseconds, if it is known.
     pub fn step_ms(&self, now_ms: u64) -> Option<u64> {
         Some(self.step_ms).filter(|step_ms| *step_ms > 0 && !self.is_silent(now_ms))
     }
 
-    /// Whether its leader has told nothing for too long.
+    /// Returns whether the last report is too old to be used.
     pub const fn is_silent(&self, now_ms: u64) -> bool {
-        now_ms >= self.told_ms + NEWS_LIFE_MS
+        now_ms >= self.reported_ms + REPORT_LIFETIME_MS
     }
 
-    /// Whether its steps go on, as far as known.
+    /// Returns whether the group is believed to run its steps.
     pub const fn is_serving(&self, now_ms: u64) -> bool {
         now_ms >= self.fault_until_ms && (self.is_serving || self.is_silent(now_ms))
     }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
@@ -1,4 +1,4 @@
-//! What is known of the groups that endpoints are ranks of.
+//! The groups whose ranks are endpoints of the pool.
 
 use std::collections::BTreeSet;
 
@@ -22,87 +22,86 @@
         self.groups.iter().filter(move |(name, _)| is_of_service(name)).map(|(_, group)| group)
     }
 
-    /// A leader, or an observer, told of its group.
-    pub fn apply_group_update(&mut self, news: &GroupNews, now_ms: u64) {
-        let name = group_name(&news.service, &news.group);
-        self.events += 1;
-        let event = self.events;
-        let group = self.groups.entry(name.clone()).or_insert_with(|| Group::new(now_ms));
+    /// Applies the report of a group's leader or observer.
+    pub fn apply_group_update(&mut self, update: &GroupNews, now_ms: u64) {
+        let key = group_key(&update.service, &update.group);
+        self.last_event += 1;
+        let event = self.last_event;
+        let group = self.groups.entry(key.clone()).or_insert_with(|| Group::new(now_ms));
         let was_serving = group.is_serving(now_ms);
-        if !group.on_news(news, event, now_ms) {
+        if !group.apply_update(update, event, now_ms) {
             return;
         }
-        let goes_on_again = !was_serving && news.is_serving;
-        for rank in &group.ranks_of(news) {
+        let has_resumed = !was_serving && update.is_serving;
+        for rank in &group.named_ranks(update) {
             let Some(member) = self.members.get_mut(&rank.endpoint) else { continue };
-            if member.group.as_ref() != Some(&name) {
-                member.group = Some(name.clone());
+            if member.group.as_ref() != Some(&key) {
+                member.group = Some(key.clone());
             }
             member.pace_permille = rank.pace_permille;
             member.on_load(ReportedLoad { running: rank.running, waiting: rank.waiting }, now_ms);
-            if news.is_serving {
-                member.on_told_serving(now_ms);
+            if update.is_serving {
+                member.on_group_running(now_ms);
             }
-            if goes_on_again {
+            if has_resumed {
                 member.cold.on_possible_restart(now_ms);
             }
         }
     }
 
-    /// Whether a group is led by nobody, as far as known.
+    /// Returns whether a group has neither a known leader nor an observer that checks whether it can be led.
     #[must_use]
     pub fn is_group_leaderless(&self, service: &str, group: &str, now_ms: u64) -> bool {
-        self.groups.get(&group_name(service, group)).is_none_or(|group| group.is_unled(now_ms))
+        self.groups.get(&group_key(service, group)).is_none_or(|group| group.is_leaderless(now_ms))
     }
 
-    /// The groups of a service that nobody leads, as far as known.
+    /// Returns the groups of a service without a known leader.
     #[must_use]
     pub fn leaderless_groups(&self, service: &str, now_ms: u64) -> LeaderlessGroups {
-        let mut unled = BTreeSet::new();
+        let mut leaderless = BTreeSet::new();
         let mut endpoints = 0_usize;
-        for (_, member) in self.of_service(service) {
+        for (_, member) in self.members_of_service(service) {
             match self.group_of(member) {
-                Some(group) if group.is_unled(now_ms) => drop(unled.insert(&member.group)),
+                Some(group) if group.is_leaderless(now_ms) => drop(leaderless.insert(&member.group)),
                 None if member.takes_work() => endpoints += 1,
                 _ => {}
             }
         }
-        let unnamed: usize = self.groups_of(service).map(|group| group.unnamed(now_ms)).sum();
+        let unnamed_ranks: usize = self.groups_of(service).map(|group| group.unnamed_ranks(now_ms)).sum();
         LeaderlessGroups {
-            known: unled.len(),
-            ungrouped_endpoints: endpoints.saturating_sub(unnamed),
+            known: leaderless.len(),
+            ungrouped_endpoints: endpoints.saturating_sub(unnamed_ranks),
             min_group_size: self.groups_of(service).map(Group::size).filter(|size| *size > 0).min(),
         }
     }
 
-    /// The records of the endpoints of a service that are not known to be in a group other
-    /// than `group`.
+    /// The records of the endpoints of a service that are not known to belong to a group other than `group`.
     pub fn possible_group_members(&self, service: &str, group: &str) -> impl Iterator<Item = &EndpointRecord> {
-        let name = group_name(service, group);
-        let fits = move |member: &Member| member.group.as_ref().is_none_or(|other| *other == name);
-        self.of_service(service).filter(move |(_, member)| fits(member)).map(|(_, member)| &member.record)
+        let key = group_key(service, group);
+        let may_belong = move |member: &Member| member.group.as_ref().is_none_or(|other| *other == key);
+        self.members_of_service(service).filter(move |(_, member)| may_belong(member)).map(|(_, member)| &member.record)
     }
 
-    /// An endpoint told that another rank of its group is at fault.
+    /// Records that an endpoint reported a fault of another rank of its group.
     pub fn on_group_fault(&mut self, id: &str, now_ms: u64) {
-        self.events += 1;
-        let event = self.events;
+        self.last_event += 1;
+        let event = self.last_event;
         if let Some(group) = self.group_of_mut(id) {
             group.on_fault(event, now_ms);
         }
     }
 
-    /// An endpoint crashed at `at_ms`: its whole group stands.
+    /// Records that an endpoint crashed at `at_ms`, which stalls its whole group.
     pub fn on_crash(&mut self, id: &str, at_ms: u64) {
-        self.events += 1;
-        let event = self.events;
+        self.last_event += 1;
+        let event = self.last_event;
         if let Some(group) = self.group_of_mut(id) {
             group.on_crash(event, at_ms);
         }
     }
 }
 
-/// The name under which a group is kept: groups of two services may be called alike.
-fn group_name(service: &str, group: &str) -> String {
+/// Returns the key of a group. Two services may use the same group name.
+fn group_key(service: &str, group: &str) -> String {
     format!("{service}/{group}")
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/limit_usage.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/limit_usage.rs
@@ -1,14 +1,14 @@
-//! What limits leave to one box.
+//! The use of rate limits by this box.
 
-/// What endpoints of one service take from all boxes together, and what this box sends of it.
+/// The limits of one service's endpoints and their use by this box.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LimitUsage {
-    /// Endpoints that name a limit.
+    /// Endpoints that report a limit.
     pub endpoints: usize,
-    /// The sum of their limits, in requests a second.
+    /// The sum of these limits, in requests per second.
     pub limit_per_s: f64,
-    /// The part of this box, in requests a second.
+    /// The share of this box, in requests per second.
     pub share_per_s: f64,
-    /// What this box sends, in requests a second.
+    /// The rate at which this box sends requests, in requests per second.
     pub sent_per_s: f64,
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
@@ -1,129 +1,134 @@
-//! Limits that hold for all boxes together, as this box keeps to them.
+//! Rate limits that endpoints set for all boxes together, as this box enforces its share of them.
 
 use super::{EndpointPool, LimitUsage, Member, Pick};
 use crate::direct::endpoint_life::EndpointLife;
 use crate::direct::shared_limit::{EndpointLimit, LimitUpdate, ReportedLimit, SharedLimit, SharingBoxes};
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
 impl EndpointPool {
-    /// Other boxes share what endpoints take from all of them.
-    pub fn set_sharing_boxes(&mut self, sharers: SharingBoxes) {
+    /// Replaces the set of boxes that share the limits of endpoints.
+    pub fn set_sharing_boxes(&mut self, sharing_boxes: SharingBoxes) {
         let members = self.members.iter_mut().map(|(id, member)| (id.as_str(), &mut member.limit));
-        let parted = self.parted.iter_mut().map(|(life, parted)| (life.id.as_str(), &mut parted.limit));
-        for (id, limit) in members.chain(parted) {
+        let departed =
+            self.departed.iter_mut().map(|(incarnation, departed)| (incarnation.id.as_str(), &mut departed.limit));
+        for (id, limit) in members.chain(departed) {
             if let Some(limit) = limit {
-                limit.set_share_rank(sharers.share_rank(id));
+                limit.set_share_rank(sharing_boxes.share_rank(id));
             }
         }
         for (id, member) in &mut self.members {
-            if member.cold.is_bounded() {
-                member.cold.set_share_rank(sharers.share_rank(id));
+            if member.cold.is_limited() {
+                member.cold.set_share_rank(sharing_boxes.share_rank(id));
             }
         }
-        self.sharers = sharers;
+        self.sharing_boxes = sharing_boxes;
     }
 
-    /// The limit of the life that was picked, if one is known or has ended of late.
+    /// Returns the limit of the picked incarnation, if one is known or has ended recently.
     #[must_use]
     pub fn limit(&self, pick: &Pick) -> Option<&SharedLimit> {
-        match self.picked(pick) {
+        match self.picked_member(pick) {
             Some(member) => member.limit.as_ref(),
-            None => self.parted.get(&pick.incarnation())?.limit.as_ref(),
+            None => self.departed.get(&pick.incarnation())?.limit.as_ref(),
         }
     }
 
-    fn limit_mut(&mut self, life: EndpointLife) -> &mut Option<SharedLimit> {
-        let member = self.members.get_mut(&life.id).filter(|member| member.record.born_ms == life.born_ms);
+    fn limit_mut(&mut self, incarnation: EndpointLife) -> &mut Option<SharedLimit> {
+        let member =
+            self.members.get_mut(&incarnation.id).filter(|member| member.record.born_ms == incarnation.born_ms);
         match member {
             Some(member) => &mut member.limit,
-            None => &mut self.parted.entry(life).or_default().limit,
+            None => &mut self.departed.entry(incarnation).or_default().limit,
         }
     }
 
-    /// An answer to a request that was sent at `asked_ms` said this of the limit of its endpoint. Says whether others
-    /// should be told at once.
-    pub fn on_reported_limit(&mut self, pick: &Pick, word: ReportedLimit, asked_ms: u64, now_ms: u64) -> bool {
-        let rate = match word {
+    /// Applies the limit that a response to a request sent at `sent_ms` reported. Returns whether other boxes should
+    /// be told at once.
+    pub fn on_reported_limit(&mut self, pick: &Pick, reported: ReportedLimit, sent_ms: u64, now_ms: u64) -> bool {
+        let rate = match reported {
             ReportedLimit::Unknown => return false,
             ReportedLimit::Unlimited if self.limit(pick).is_none() => return false,
             ReportedLimit::Unlimited => None,
             ReportedLimit::Limited(rate) => Some(rate),
         };
-        let place = self.sharers.share_rank(&pick.id);
-        let change = self.limit_version + 1;
+        let share_rank = self.sharing_boxes.share_rank(&pick.id);
+        let version = self.limit_version + 1;
         let slot = self.limit_mut(pick.incarnation());
         let is_new = slot.is_none();
-        let limit = slot.get_or_insert_with(|| SharedLimit::new(rate, place, now_ms));
-        let is_change = is_new || limit.on_answer(rate, asked_ms, now_ms);
+        let limit = slot.get_or_insert_with(|| SharedLimit::new(rate, share_rank, now_ms));
+        let is_change = is_new || limit.on_answer(rate, sent_ms, now_ms);
         if is_change || limit.is_announcement_due(now_ms) {
-            limit.record_announced(change, now_ms);
-            self.limit_version = change;
+            limit.record_announced(version, now_ms);
+            self.limit_version = version;
         }
         is_change
     }
 
-    /// Takes what another box tells of limits. Gives those that were news.
-    pub fn apply_limit_update(&mut self, news: &LimitUpdate, now_ms: u64) -> Vec<EndpointLimit> {
-        self.parted.retain(|_, parted| parted.is_recent(now_ms));
-        news.limits.iter().filter(|told| self.take_told_limit(told, now_ms)).cloned().collect()
+    /// Applies the limits that another box reported. Returns those that this box did not know.
+    pub fn apply_limit_update(&mut self, update: &LimitUpdate, now_ms: u64) -> Vec<EndpointLimit> {
+        self.departed.retain(|_, departed| departed.is_retained(now_ms));
+        update.limits.iter().filter(|reported| self.apply_endpoint_limit(reported, now_ms)).cloned().collect()
     }
 
-    fn take_told_limit(&mut self, told: &EndpointLimit, now_ms: u64) -> bool {
-        let place = self.sharers.share_rank(&told.endpoint);
-        let heard_ms = now_ms.saturating_sub(told.age_ms);
-        let change = self.limit_version + 1;
-        let life = EndpointLife { id: told.endpoint.clone(), born_ms: told.started_ms };
-        let slot = self.limit_mut(life);
-        let is_news = match slot {
-            Some(limit) => limit.on_peer_report(told.rate, heard_ms),
+    fn apply_endpoint_limit(&mut self, reported: &EndpointLimit, now_ms: u64) -> bool {
+        let share_rank = self.sharing_boxes.share_rank(&reported.endpoint);
+        let reported_ms = now_ms.saturating_sub(reported.age_ms);
+        let version = self.limit_version + 1;
+        let incarnation = EndpointLife { id: reported.endpoint.clone(), born_ms: reported.started_ms };
+        let slot = self.limit_mut(incarnation);
+        let is_new_information = match slot {
+            Some(limit) => limit.on_peer_report(reported.rate, reported_ms),
             None => {
-                *slot = Some(SharedLimit::new(told.rate, place, heard_ms));
+                *slot = Some(SharedLimit::new(reported.rate, share_rank, reported_ms));
                 true
             }
         };
-        if is_news && let Some(limit) = slot {
-            limit.record_announced(change, now_ms);
-            self.limit_version = change;
+        if is_new_information && let Some(limit) = slot {
+            limit.record_announced(version, now_ms);
+            self.limit_version = version;
         }
-        is_news
+        is_new_information
     }
 
-    /// How many changes of limits this box has seen.
+    /// Returns the version of the limits that this box knows, which grows with each change.
     #[must_use]
     pub const fn limit_version(&self) -> u64 {
         self.limit_version
     }
 
-    /// What was learned of limits after the first `changes` changes.
+    /// Returns the limits that changed after `version`.
     #[must_use]
-    pub fn limit_update_since(&self, changes: u64, now_ms: u64) -> LimitUpdate {
+    pub fn limit_update_since(&self, version: u64, now_ms: u64) -> LimitUpdate {
         let members = self.members.iter().map(|(id, member)| (id, member.record.born_ms, &member.limit));
-        let parted = self.parted.iter().map(|(life, parted)| (&life.id, life.born_ms, &parted.limit));
-        let known = members.chain(parted).filter_map(|(id, born_ms, limit)| Some((id, born_ms, limit.as_ref()?)));
-        let changed = known.filter(|(_, _, limit)| limit.version() > changes);
-        LimitUpdate { limits: changed.map(|(id, born_ms, limit)| told(id, born_ms, limit, now_ms)).collect() }
+        let departed =
+            self.departed.iter().map(|(incarnation, departed)| (&incarnation.id, incarnation.born_ms, &departed.limit));
+        let known =
+            members.chain(departed).filter_map(|(id, started_ms, limit)| Some((id, started_ms, limit.as_ref()?)));
+        let changed = known.filter(|(_, _, limit)| limit.version() > version);
+        LimitUpdate {
+            limits: changed.map(|(id, started_ms, limit)| endpoint_limit(id, started_ms, limit, now_ms)).collect(),
+        }
     }
 
-    /// What is told of the limit of the life that was picked.
+    /// Returns the limit of the picked incarnation, as it is reported to other boxes.
     #[must_use]
     pub fn limit_update_for(&self, pick: &Pick, now_ms: u64) -> LimitUpdate {
-        let limit = self.limit(pick).map(|limit| told(&pick.id, pick.started_ms, limit, now_ms));
+        let limit = self.limit(pick).map(|limit| endpoint_limit(&pick.id, pick.started_ms, limit, now_ms));
         LimitUpdate { limits: limit.into_iter().collect() }
     }
 
-    /// Forgets limits that have ended some time ago.
+    /// Removes limits that ended some time ago.
     pub fn remove_ended_limits(&mut self, now_ms: u64) {
         for member in self.members.values_mut() {
             member.limit.take_if(|limit| limit.is_expired(now_ms));
         }
     }
 
-    /// What limits of a service leave, and what this box sends of that.
+    /// Returns the limits of a service's endpoints, the share of this box, and its use of the share.
     #[must_use]
     pub fn limit_usage(&self, service: &str, now_ms: u64) -> LimitUsage {
-        let limits = self.of_service(service).filter_map(|(_, member)| member.limit.as_ref());
+        let limits = self.members_of_service(service).filter_map(|(_, member)| member.limit.as_ref());
         limits.fold(LimitUsage::default(), |sum, limit| {
             let (Some(rate), Some(share)) = (limit.rate(), limit.share()) else { return sum };
             let window_s = share.window_ms as f64 / MS_PER_S;
@@ -136,30 +141,31 @@
         })
     }
 
-    /// Whether a request that was picked for an endpoint may be written to it now; it then counts as sent. `counted_ms` is
-    /// when it counted as sent before, over a connection that turned out to be closed.
+    /// Returns whether the request may be written to the picked endpoint now, and if so counts it as sent. If the
+    /// request was counted before, over a connection that turned out to be closed, `counted_ms` is the time of that,
+    /// and the earlier count is removed.
     #[must_use]
     pub fn try_record_send(&mut self, pick: &Pick, counted_ms: Option<u64>, now_ms: u64) -> bool {
-        let Some(member) = self.member_of(pick) else { return false };
+        let Some(member) = self.picked_member_mut(pick) else { return false };
         member.on_unsent(counted_ms);
-        member.accepts_requests(now_ms) && member.try_send(now_ms)
+        member.accepts_requests(now_ms) && member.try_record_send(now_ms)
     }
 
-    /// A request that was picked for an endpoint never reached it.
+    /// Records that a request never reached the endpoint that was picked for it.
     pub fn on_unsent(&mut self, pick: &Pick, counted_ms: Option<u64>) {
-        if let Some(member) = self.member_of(pick) {
+        if let Some(member) = self.picked_member_mut(pick) {
             member.on_unsent(counted_ms);
         }
     }
 
-    /// When the first of these endpoints takes another request of this box; `None` where one of them has no limit, or is
-    /// free by its limit and lacks room for another reason.
-    pub(super) fn first_free_ms<'a>(members: impl Iterator<Item = &'a Member>, now_ms: u64) -> Option<u64> {
-        let free_ms = members.map(|member| member.limit_free_ms(now_ms).filter(|free_ms| *free_ms > now_ms));
-        free_ms.collect::<Option<Vec<u64>>>()?.into_iter().min()
+    /// Returns the earliest time at which one of these endpoints accepts another request of this box. Returns `None` if
+    /// one of them has no limit, or if its limit admits a request and it lacks capacity for another reason.
+    pub(super) fn earliest_send_ms<'a>(members: impl Iterator<Item = &'a Member>, now_ms: u64) -> Option<u64> {
+        let next_ms = members.map(|member| member.next_send_ms(now_ms).filter(|next_ms| *next_ms > now_ms));
+        next_ms.collect::<Option<Vec<u64>>>()?.into_iter().min()
     }
 }
 
-fn told(id: &str, started_ms: u64, limit: &SharedLimit, now_ms: u64) -> EndpointLimit {
+fn endpoint_limit(id: &str, started_ms: u64, limit: &SharedLimit, now_ms: u64) -> EndpointLimit {
     EndpointLimit { endpoint: id.to_owned(), started_ms, rate: limit.rate(), age_ms: limit.age_ms(now_ms) }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
@@ -1,6 +1,6 @@
-//! One endpoint as it looks from this box: its load, its failures and its group.
+//! One endpoint of the pool: its load, its failures and its group.
 
-use super::NEWS_LIFE_MS;
+use super::REPORT_LIFETIME_MS;
 use super::attempt_outcome::AttemptOutcome;
 use super::availability_notice::AvailabilityNotice;
 use super::cold_limit::ColdLimit;
@@ -11,161 +11,162 @@
 use crate::direct::waiting::Urgency;
 use crate::direct::{EndpointLife, EndpointRecord};
 
-/// Weight of one more outcome in the share of failures.
+/// Weight of the latest outcome in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// How much an endpoint that always fails counts as more loaded.
+/// Increase of the load score of an endpoint that always fails.
 const FAILURE_COST: f64 = 6.0;
-/// How long a refusal says something, in milliseconds. One that refuses runs nothing, and by its load alone would get
-/// whatever comes next: where three in ten endpoints refused nine in ten requests for nine seconds, callers got .08 more
-/// of what their requests are worth with this (played days, six pairs). What a whole group refuses while it stands is
-/// forgotten soon after its return.
-const REFUSAL_LIFE_MS: f64 = 1_000.0;
-/// How long an endpoint that cannot be reached is set aside at first, in milliseconds.
-const SET_ASIDE_MS: u64 = 500;
-/// The longest that it is set aside, in milliseconds.
-const MAX_SET_ASIDE_MS: u64 = 4_000;
-/// Most doublings of the time for which it is set aside: keeps the shift within a `u64`,
-/// well beyond [`MAX_SET_ASIDE_MS`].
+/// How long a rejection counts, in milliseconds. An endpoint that rejects requests has no load and would attract the
+/// next ones. With this penalty, callers got .08 more of the value of their requests (simulated days, six pairs) when
+/// three in ten endpoints rejected nine in ten requests for nine seconds. The rejections of a stalled group expire soon
+/// after it resumes.
+const REJECTION_LIFETIME_MS: f64 = 1_000.0;
+/// The first backoff after an endpoint was unreachable, in milliseconds.
+const INITIAL_EJECTION_MS: u64 = 500;
+/// The longest backoff after an endpoint was unreachable, in milliseconds.
+const MAX_EJECTION_MS: u64 = 4_000;
+/// Limits the exponent of the backoff so that the shift stays within a `u64`, well beyond [`MAX_EJECTION_MS`].
 const MAX_DOUBLINGS: u32 = 8;
-/// How much more loaded an endpoint counts that has just started, and is slow for a while: by this part, less as it warms.
+/// Increase of the load score of an endpoint that is slow because it is cold. It shrinks as the endpoint warms up.
 const COLD_COST: f64 = 0.5;
-/// An endpoint that stays cold for this long or longer counts as slow as any, in milliseconds.
-const COLD_SPAN_MS: f64 = 3_000.0;
-/// After this time, reported load says nothing more, in milliseconds.
-const LOAD_LIFE_MS: f64 = 1_500.0;
-/// The pace of an endpoint that is as fast as usual, in thousandths.
-const USUAL_PACE_PERMILLE: u64 = 1_000;
-/// From this pace on a rank gets requests only where no other is left, in thousandths.
+/// From this remaining cold time on, an endpoint gets the full [`COLD_COST`], in milliseconds.
+const FULL_COLD_COST_MS: f64 = 3_000.0;
+/// How long a reported load is used, in milliseconds.
+const LOAD_LIFETIME_MS: f64 = 1_500.0;
+/// The pace of an endpoint with normal speed, in thousandths.
+const NORMAL_PACE_PERMILLE: u64 = 1_000;
+/// A rank with at least this pace gets requests only if no other rank is left, in thousandths.
 const SLOW_PACE_PERMILLE: u64 = 1_500;
 
-/// One endpoint.
+/// One endpoint of the pool.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// Its record.
+    /// The record of the endpoint.
     pub record: EndpointRecord,
-    /// Requests that this box has there.
+    /// Requests of this box that are in flight to the endpoint.
     pub in_flight: u64,
-    /// Those of them that were late when they were sent.
+    /// Requests in flight that were already late when they were sent.
     pub late_in_flight: u64,
-    /// The name of its group, once a leader has told of it.
+    /// The name of the endpoint's group, once a leader has reported it.
     pub group: Option<String>,
-    /// How much longer its work takes than usual, in thousandths.
+    /// How long the endpoint needs for its work, in thousandths of the normal time.
     pub pace_permille: u64,
-    /// What it has asked for in its answers.
+    /// What the endpoint has asked for in its responses.
     pub notice: AvailabilityNotice,
-    /// What it takes from all boxes together, where it names that.
+    /// The rate limit that the endpoint sets for all boxes together, if any.
     pub limit: Option<SharedLimit>,
-    /// What it bears while it is cold.
+    /// The rate limit that applies while the endpoint is cold.
     pub cold: ColdLimit,
-    /// Whether its data centre is evacuated.
+    /// Whether the endpoint's data centre is evacuated.
     pub is_evacuated: bool,
-    /// Requests of this box that were picked for it and are not sent yet.
+    /// Requests of this box that were picked for the endpoint and are not sent yet.
     unsent: u64,
-    /// Requests of this box that it has not answered yet.
+    /// Requests of this box that the endpoint has not answered yet.
     unanswered: u64,
     slow_start: SlowStart,
-    /// The number of the event by which it became known.
-    known: u64,
+    /// The number of the event at which the endpoint became known.
+    known_since_event: u64,
     load: ReportedLoad,
-    /// Requests that this box had there when the load was told.
-    own_at_load: u64,
-    load_at_ms: u64,
-    /// Share of its outcomes that were failures, the last ones weighing most.
+    /// Requests of this box that were in flight when the load was reported.
+    own_in_flight_at_load: u64,
+    load_reported_ms: u64,
+    /// Exponential moving average of failed outcomes, from 0 to 1.
     failures: f64,
-    unreachable_times: u32,
-    /// When it last refused a request, unless it has taken one since.
-    refused_ms: Option<u64>,
-    aside_until_ms: u64,
-    heard_ms: u64,
+    unreachable_count: u32,
+    /// The time of the last rejection, unless the endpoint has accepted a request since.
+    rejected_ms: Option<u64>,
+    ejected_until_ms: u64,
+    last_activity_ms: u64,
 }
 
 impl Member {
-    /// An endpoint of which nothing is known but its record, and what it asked for before that lapsed.
-    pub fn new(record: EndpointRecord, known: u64, before: Departed, cold: ColdLimit) -> Self {
-        let Departed { notice, limit } = before;
+    /// Creates the state of an endpoint from its record and from what was kept while the record was missing.
+    pub fn new(record: EndpointRecord, known_since_event: u64, kept_state: Departed, cold: ColdLimit) -> Self {
+        let Departed { notice, limit } = kept_state;
         Self {
             record,
-            known,
+            known_since_event,
             notice,
             limit,
             cold,
             is_evacuated: false,
             unsent: 0,
             unanswered: 0,
-            slow_start: if notice.has_requested_backoff() { SlowStart::AFTER_PAUSE } else { SlowStart::Open },
+            slow_start: if notice.has_requested_backoff() { SlowStart::AFTER_BACKOFF } else { SlowStart::Inactive },
             in_flight: 0,
             late_in_flight: 0,
             load: ReportedLoad { running: 0, waiting: 0 },
-            own_at_load: 0,
-            load_at_ms: 0,
+            own_in_flight_at_load: 0,
+            load_reported_ms: 0,
             failures: 0.0,
-            unreachable_times: 0,
-            refused_ms: None,
-            aside_until_ms: 0,
-            heard_ms: 0,
+            unreachable_count: 0,
+            rejected_ms: None,
+            ejected_until_ms: 0,
+            last_activity_ms: 0,
             group: None,
-            pace_permille: USUAL_PACE_PERMILLE,
+            pace_permille: NORMAL_PACE_PERMILLE,
         }
     }
 
-    /// The number of the event by which it became known.
-    pub const fn known(&self) -> u64 {
-        self.known
+    /// Returns the number of the event at which the endpoint became known.
+    pub const fn known_since_event(&self) -> u64 {
+        self.known_since_event
     }
 
-    /// Whether it is this life of the endpoint `id`.
-    pub fn is_life(&self, id: &str, life: &EndpointLife) -> bool {
-        life.id == id && life.born_ms == self.record.born_ms
+    /// Returns whether this is the given incarnation of the endpoint `id`.
+    pub fn is_incarnation(&self, id: &str, incarnation: &EndpointLife) -> bool {
+        incarnation.id == id && incarnation.born_ms == self.record.born_ms
     }
 
-    /// Whether it takes new work at all: it does not leave, and its data centre is not evacuated.
+    /// Returns whether the endpoint takes new work: it is not leaving, and its data centre is not evacuated.
     pub const fn takes_work(&self) -> bool {
         !self.is_leaving() && !self.is_evacuated
     }
 
-    /// Whether its record or an answer of it has said that it leaves.
+    /// Returns whether the record or a response of the endpoint has announced that it is leaving.
     pub const fn is_leaving(&self) -> bool {
         self.record.is_leaving || self.notice.is_leaving()
     }
 
-    /// Whether a request may be sent there now, as far as it has asked for anything.
+    /// Returns whether the endpoint takes new work and has not asked for a backoff that is still running.
     pub fn accepts_requests(&self, now_ms: u64) -> bool {
         self.takes_work() && self.notice.backoff_until_ms(now_ms).is_none()
     }
 
-    /// Whether a request more may be sent there: while those before are unanswered, and within this box's part of what it
-    /// takes from all boxes together.
-    pub fn admits_one_more(&self, now_ms: u64) -> bool {
-        self.slow_start.admits(self.unanswered) && self.is_free(self.unsent, now_ms)
+    /// Returns whether one more request may be sent: slow start allows it beside the unanswered requests, and the share
+    /// of this box in the rate limits is not used up.
+    pub fn admits_request(&self, now_ms: u64) -> bool {
+        self.slow_start.admits(self.unanswered) && self.is_send_allowed(self.unsent, now_ms)
     }
 
-    /// When what it takes from all boxes together lets this box send the next request; `None` where nothing binds.
-    pub fn limit_free_ms(&self, now_ms: u64) -> Option<u64> {
-        self.free_ms(self.unsent, now_ms)
+    /// Returns the earliest time for the next request of this box under the rate limits. Returns `None` if no limit
+    /// applies.
+    pub fn next_send_ms(&self, now_ms: u64) -> Option<u64> {
+        self.next_send_beside_ms(self.unsent, now_ms)
     }
 
-    fn free_ms(&self, unsent: u64, now_ms: u64) -> Option<u64> {
+    fn next_send_beside_ms(&self, unsent: u64, now_ms: u64) -> Option<u64> {
         let limited_ms = self.limit.as_ref().and_then(|limit| limit.next_send_ms(unsent, now_ms));
         limited_ms.max(self.cold.next_send_ms(unsent, now_ms))
     }
 
-    fn is_free(&self, unsent: u64, now_ms: u64) -> bool {
-        self.free_ms(unsent, now_ms).is_none_or(|free_ms| now_ms >= free_ms)
+    fn is_send_allowed(&self, unsent: u64, now_ms: u64) -> bool {
+        self.next_send_beside_ms(unsent, now_ms).is_none_or(|next_ms| now_ms >= next_ms)
     }
 
-    /// A request is about to be written, if what it takes from all boxes together lets it.
-    pub fn try_send(&mut self, now_ms: u64) -> bool {
-        let is_free = self.is_free(0, now_ms);
-        if is_free {
+    /// Counts a request as sent if the rate limits allow it now. Returns whether they do.
+    pub fn try_record_send(&mut self, now_ms: u64) -> bool {
+        let is_send_allowed = self.is_send_allowed(0, now_ms);
+        if is_send_allowed {
             self.cold.on_sent(now_ms);
             if let Some(limit) = &mut self.limit {
                 limit.on_sent(now_ms);
             }
         }
-        is_free
+        is_send_allowed
     }
 
-    /// A request that was picked, or that counted as sent at `counted_ms`, is not on its way any more.
+    /// Removes a request that will not reach the endpoint. `counted_ms` is the time at which it was counted as sent, if
+    /// it was.
     pub fn on_unsent(&mut self, counted_ms: Option<u64>) {
         let Some(sent_ms) = counted_ms else {
             self.unsent = self.unsent.saturating_sub(1);
@@ -177,113 +178,114 @@
         }
     }
 
-    /// It wants no request for so long.
+    /// Records that the endpoint wants no requests for `backoff_ms`.
     pub fn on_backoff(&mut self, backoff_ms: u64, now_ms: u64) {
         self.notice.on_backoff(backoff_ms, now_ms);
-        self.slow_start = SlowStart::AFTER_PAUSE;
+        self.slow_start = SlowStart::AFTER_BACKOFF;
     }
 
-    /// It has taken a request. What it took before it asked for a pause says nothing of what comes after.
+    /// Records that the endpoint accepted a request. Requests that were accepted before a backoff say nothing about the
+    /// time after it.
     pub fn on_accepted(&mut self, now_ms: u64) {
-        self.refused_ms = None;
+        self.rejected_ms = None;
         if self.notice.backoff_until_ms(now_ms).is_none() {
             self.slow_start = self.slow_start.after_accepted(self.record.slots);
         }
     }
 
-    /// It has answered a request, with whatever.
+    /// Records that the endpoint answered a request, with any status.
     pub const fn on_answered(&mut self) {
         self.unanswered = self.unanswered.saturating_sub(1);
     }
 
-    /// Requests there, as far as known: our own exactly, those of other boxes from
-    /// the last report, fading with its age.
-    pub fn requests(&self, now_ms: u64) -> f64 {
+    /// Estimates the number of requests at the endpoint. Those of this box are known exactly; those of other boxes come
+    /// from the last report and are discounted by its age.
+    pub fn estimated_requests(&self, now_ms: u64) -> f64 {
         let reported = self.load.running + self.load.waiting;
-        let others = reported.saturating_sub(self.own_at_load) as f64;
-        let age_ms = now_ms.saturating_sub(self.load_at_ms) as f64;
-        self.in_flight as f64 + others * (1.0 - age_ms / LOAD_LIFE_MS).max(0.0)
+        let other_boxes = reported.saturating_sub(self.own_in_flight_at_load) as f64;
+        let age_ms = now_ms.saturating_sub(self.load_reported_ms) as f64;
+        self.in_flight as f64 + other_boxes * (1.0 - age_ms / LOAD_LIFETIME_MS).max(0.0)
     }
 
-    /// Whether its leader said of late that it is slow: as a rank of a group it makes
-    /// every step of all others longer by its own requests.
+    /// Returns whether the leader recently reported the rank as slow. The requests of a slow rank lengthen every step
+    /// of all ranks in its group.
     pub const fn is_slow(&self, now_ms: u64) -> bool {
-        self.pace_permille >= SLOW_PACE_PERMILLE && now_ms < self.load_at_ms + NEWS_LIFE_MS
+        self.pace_permille >= SLOW_PACE_PERMILLE && now_ms < self.load_reported_ms + REPORT_LIFETIME_MS
     }
 
-    /// How loaded it counts for a comparison.
-    pub fn pressure(&self, now_ms: u64) -> f64 {
+    /// Returns the load score by which endpoints are compared.
+    pub fn load_score(&self, now_ms: u64) -> f64 {
         let slots = self.record.slots.max(1) as f64;
-        let cold = (self.cold.left_ms(now_ms) as f64 / COLD_SPAN_MS).min(1.0);
-        (self.requests(now_ms) + 1.0) / slots
+        let cold = (self.cold.remaining_ms(now_ms) as f64 / FULL_COLD_COST_MS).min(1.0);
+        (self.estimated_requests(now_ms) + 1.0) / slots
             * (1.0 + COLD_COST * cold)
-            * (1.0 + FAILURE_COST * self.failures.max(self.refusal(now_ms)))
+            * (1.0 + FAILURE_COST * self.failures.max(self.rejection_weight(now_ms)))
     }
 
-    /// What its last refusal still says: 1 just after it, 0 a while later.
-    fn refusal(&self, now_ms: u64) -> f64 {
-        let age_ms = self.refused_ms.map_or(u64::MAX, |refused_ms| now_ms.saturating_sub(refused_ms));
-        (1.0 - age_ms as f64 / REFUSAL_LIFE_MS).max(0.0)
+    /// Returns the weight of the last rejection: 1 immediately after it, falling to 0 at the end of its lifetime.
+    fn rejection_weight(&self, now_ms: u64) -> f64 {
+        let age_ms = self.rejected_ms.map_or(u64::MAX, |rejected_ms| now_ms.saturating_sub(rejected_ms));
+        (1.0 - age_ms as f64 / REJECTION_LIFETIME_MS).max(0.0)
     }
 
-    /// Whether it is set aside, since it could not be reached.
-    pub const fn is_aside(&self, now_ms: u64) -> bool {
-        self.aside_until_ms > now_ms
+    /// Returns whether the endpoint is avoided because it was unreachable.
+    pub const fn is_ejected(&self, now_ms: u64) -> bool {
+        self.ejected_until_ms > now_ms
     }
 
-    /// Its leader told that its group goes on.
-    pub const fn on_told_serving(&mut self, now_ms: u64) {
-        // Its requests get their turn, also where no answer to this box is due yet.
-        self.on_heard(now_ms);
+    /// Records that the leader reported the group as running.
+    pub const fn on_group_running(&mut self, now_ms: u64) {
+        // Requests at this rank make progress even if no response to this box is due yet.
+        self.on_activity(now_ms);
     }
 
-    /// Whether it has said nothing for so long, neither to this box nor to its leader.
+    /// Returns whether the endpoint has been silent for at least `for_ms`, both to this box and to its leader.
     pub const fn is_silent(&self, for_ms: u64, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.heard_ms) >= for_ms
+        now_ms.saturating_sub(self.last_activity_ms) >= for_ms
     }
 
-    /// It was heard.
-    pub const fn on_heard(&mut self, now_ms: u64) {
-        self.heard_ms = now_ms;
+    /// Records a sign of life of the endpoint.
+    pub const fn on_activity(&mut self, now_ms: u64) {
+        self.last_activity_ms = now_ms;
     }
 
-    /// It, or its leader, told its load.
+    /// Applies a load reported by the endpoint or by its leader.
     pub const fn on_load(&mut self, load: ReportedLoad, now_ms: u64) {
         self.load = load;
-        self.own_at_load = self.in_flight;
-        self.load_at_ms = now_ms;
+        self.own_in_flight_at_load = self.in_flight;
+        self.load_reported_ms = now_ms;
     }
 
-    /// An attempt there begins.
-    pub const fn on_start(&mut self, urgency: Urgency) {
+    /// Records the start of an attempt.
+    pub const fn on_attempt_start(&mut self, urgency: Urgency) {
         self.in_flight += 1;
         self.unsent += 1;
         self.unanswered += 1;
         self.late_in_flight += matches!(urgency, Urgency::Late) as u64;
     }
 
-    /// An attempt there has ended.
-    pub fn on_end(&mut self, urgency: Urgency, outcome: AttemptOutcome, now_ms: u64) {
+    /// Records the end of an attempt.
+    pub fn on_attempt_end(&mut self, urgency: Urgency, outcome: AttemptOutcome, now_ms: u64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.late_in_flight = self.late_in_flight.saturating_sub(u64::from(urgency == Urgency::Late));
         let failed = match outcome {
             AttemptOutcome::Success => 0.0,
             AttemptOutcome::Failed | AttemptOutcome::Unreachable => 1.0,
             AttemptOutcome::Full => {
-                self.refused_ms = Some(now_ms);
+                self.rejected_ms = Some(now_ms);
                 return;
             }
             AttemptOutcome::Unknown => return,
         };
         self.failures += FAILURE_WEIGHT * (failed - self.failures);
         if outcome == AttemptOutcome::Unreachable {
-            let times = self.unreachable_times.min(MAX_DOUBLINGS);
-            self.aside_until_ms = now_ms + (SET_ASIDE_MS << times).min(MAX_SET_ASIDE_MS);
-            self.unreachable_times += 1;
-            self.cold.on_possible_restart(self.aside_until_ms);
+            let doublings = self.unreachable_count.min(MAX_DOUBLINGS);
+            self.ejected_until_ms = now_ms + (INITIAL_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
+            self.unreachable_count += 1;
+            self.cold.on_possible_restart(self.ejected_until_ms);
         } else if outcome == AttemptOutcome::Success {
-            self.unreachable_times = 0;
-            self.aside_until_ms = 0;
+            self.unreachable_count = 0;
+            self.ejected_until_ms = 0;
         }
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
@@ -5,29 +5,29 @@
 use crate::direct::waiting::Urgency;
 use crate::direct::{EndpointLife, EndpointRecord};
 
-/// The endpoint for an attempt.
+/// The endpoint that was picked for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pick {
-    /// Its identifier.
+    /// Identifier of the endpoint.
     pub id: String,
-    /// When the life of it that was picked started.
+    /// Start time of the picked incarnation.
     pub started_ms: u64,
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// Requests that this box already has there.
+    /// Requests of this box that were in flight to the endpoint when it was picked.
     pub in_flight: u64,
-    /// How soon the request had to go.
+    /// The urgency of the request.
     pub urgency: Urgency,
 }
 
 impl Pick {
-    /// The endpoint `id` as its record says, for whoever asks of it without a request.
+    /// Creates a pick of the endpoint `id` from its record, for uses without a request.
     #[must_use]
     pub fn from_record(id: &str, record: &EndpointRecord) -> Self {
         Self { id: id.to_owned(), started_ms: record.born_ms, addr: record.addr, in_flight: 0, urgency: Urgency::InAim }
     }
 
-    /// The life of the endpoint that was picked.
+    /// Returns the picked incarnation of the endpoint.
     #[must_use]
     pub fn incarnation(&self) -> EndpointLife {
         EndpointLife { id: self.id.clone(), born_ms: self.started_ms }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/pick_error.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/pick_error.rs
@@ -1,22 +1,22 @@
-//! Why an attempt gets no endpoint.
+//! Reasons why no endpoint can be picked.
 
-/// Why no endpoint was picked.
+/// Why no endpoint was picked for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickError {
-    /// None is left that takes work.
+    /// No endpoint that takes work is left.
     Nobody,
-    /// Those that take work have as much as they can serve in time.
+    /// The endpoints that take work have as many requests as they can serve in time.
     Full,
-    /// All that take work have asked for a pause.
+    /// All endpoints that take work have asked for a backoff.
     Paused {
-        /// When the first of these pauses is over.
+        /// When the first of these backoffs ends.
         until_ms: u64,
     },
-    /// All that take work name limits, of which this box has used its part.
+    /// All endpoints that take work have rate limits, and this box has used up its share of them.
     Limited {
-        /// When it may send the next request.
+        /// When this box may send the next request.
         until_ms: u64,
     },
-    /// All of their groups are known to stand or to be broken.
+    /// All groups of the service are known to be stalled or broken.
     Stands,
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/reported_load.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/reported_load.rs
@@ -1,10 +1,10 @@
-//! The load that an endpoint reports.
+//! The load that endpoints report.
 
-/// The load that an endpoint told with an answer.
+/// The load that an endpoint reported with a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReportedLoad {
-    /// Requests that it runs.
+    /// Requests that the endpoint is running.
     pub running: u64,
-    /// Requests that wait there.
+    /// Requests that are queued at the endpoint.
     pub waiting: u64,
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets a request, and whether one has room.
+//! Selection of an endpoint for a request.
 
 use super::group::Group;
 use super::shuffled_order::ShuffledOrder;
@@ -7,184 +7,204 @@
 use crate::direct::homes::Homes;
 use crate::direct::waiting::Urgency;
 
-/// Requests for each slot that an endpoint without a group may have, running and
-/// waiting: what waits starts after about as many runs.
-const PLAIN_DEPTH: f64 = 3.0;
-/// Requests that may wait at a rank of a group: the next place is free within the
-/// aim of a first event, a second one hardly.
-const GROUP_WAITING: f64 = 1.0;
-/// Share of what an endpoint takes up to which it gets requests that can only be late: the
-/// rest is for those that come next and can still be in their aim. A quarter of the places is
-/// what callers at their usual rate fill in half a second, until late ones have ended.
-const LATE_DEPTH: f64 = 0.75;
-/// Endpoints that are drawn for one request, of which the least loaded gets it. What is
-/// known of load is some hundred milliseconds old and alike at all boxes: were the
-/// least loaded of all picked, all boxes would send there at once.
-const COMPARED: usize = 3;
-/// The step of a group that told none, in milliseconds: what engines need under usual load.
-const USUAL_STEP_MS: u64 = 70;
-/// How much more loaded a group counts whose leader has fallen silent.
-const SILENT_LEADER_COST: f64 = 2.0;
+/// Requests, running or queued, that an endpoint without a group may have per slot. A queued request then starts after
+/// about as many runs.
+const UNGROUPED_REQUESTS_PER_SLOT: f64 = 3.0;
+/// Requests that may be queued at a rank of a group. The next slot becomes free within the latency target of the first
+/// event; a second queued request would rarely meet it.
+const GROUP_QUEUE_LIMIT: f64 = 1.0;
+/// Fraction of an endpoint's capacity that late requests may use. The rest is kept for upcoming requests that can still
+/// be on time: at the usual rate, callers fill a quarter of the slots in half a second, until late requests have ended.
+const LATE_CAPACITY_FRACTION: f64 = 0.75;
+/// Number of randomly sampled endpoints, of which the least loaded one gets the request. Load reports are some hundred
+/// milliseconds old and the same at all boxes. If each box picked the least loaded of all endpoints, all boxes would
+/// send to it at once.
+const SAMPLED_ENDPOINTS: usize = 3;
+/// The step duration assumed for a group that has not reported one, in milliseconds: the duration under usual load.
+const DEFAULT_STEP_MS: u64 = 70;
+/// Factor on the load score of a group whose leader is silent.
+const SILENT_LEADER_FACTOR: f64 = 2.0;
 
 impl EndpointPool {
-    /// Picks an endpoint for a request that may run anywhere.
+    /// Picks an endpoint for a request that may run in any region.
     ///
     /// # Errors
     ///
-    /// As [`Self::pick_in_regions`].
+    /// The same as [`Self::pick_in_regions`].
     pub fn pick(
         &self,
         service: &str,
         tried: &[EndpointLife],
         urgency: Urgency,
-        draw: u64,
+        random: u64,
         now_ms: u64,
     ) -> Result<Pick, PickError> {
-        self.pick_in_regions(&Homes::ANY, service, tried, urgency, draw, now_ms)
+        self.pick_in_regions(&Homes::ANY, service, tried, urgency, random, now_ms)
     }
 
-    /// Picks an endpoint of a service that is at home and not in `tried`: the least loaded of a few drawn ones.
-    /// Endpoints that were set aside are used only where no other is left; those that asked for a pause, never.
+    /// Picks the least loaded of a few randomly sampled endpoints of a service that are in an allowed region and not in
+    /// `tried`. Endpoints that were unreachable, slow or stalled are used only if no other is left. Endpoints that
+    /// asked for a backoff are never used.
     ///
     /// # Errors
     ///
-    /// When nobody takes work, all have asked for a pause, have as much as they can serve in time or as their limits let this box send, or all groups stand.
+    /// Returns an error if no endpoint takes work, if all have asked for a backoff, are at capacity or have used up the
+    /// share of this box in their rate limits, or if all groups are stalled.
     pub fn pick_in_regions(
         &self,
-        homes: &Homes,
+        allowed_regions: &Homes,
         service: &str,
         tried: &[EndpointLife],
         urgency: Urgency,
-        draw: u64,
+        random: u64,
         now_ms: u64,
     ) -> Result<Pick, PickError> {
-        let is_left = |id: &str, member: &Member| {
-            member.takes_work() && self.is_home(homes, member) && !tried.iter().any(|life| member.is_life(id, life))
+        let is_candidate = |id: &str, member: &Member| {
+            member.takes_work()
+                && self.is_in_allowed_region(allowed_regions, member)
+                && !tried.iter().any(|incarnation| member.is_incarnation(id, incarnation))
         };
-        let all_left = || self.drawn(service, draw).filter(|(id, member)| is_left(id, member));
-        let is_any_reached = all_left().any(|(_, member)| self.is_reached(member, now_ms));
-        let left = || all_left().filter(|(_, member)| !is_any_reached || self.is_reached(member, now_ms));
-        let open = || left().filter(|(_, member)| member.accepts_requests(now_ms));
-        let is_sound = |(_, member): &(&str, &Member)| self.is_sound(member, now_ms);
-        let has_room = |(_, member): &(&str, &Member)| self.has_room(member, urgency, now_ms);
-        if let Some(found) = self.least_loaded(open().filter(is_sound).filter(has_room), now_ms) {
-            return Ok(picked(found, urgency));
+        let all_candidates = || self.shuffled(service, random).filter(|(id, member)| is_candidate(id, member));
+        let is_any_reachable = all_candidates().any(|(_, member)| self.is_reachable(member, now_ms));
+        let candidates =
+            || all_candidates().filter(|(_, member)| !is_any_reachable || self.is_reachable(member, now_ms));
+        let accepting = || candidates().filter(|(_, member)| member.accepts_requests(now_ms));
+        let is_healthy = |(_, member): &(&str, &Member)| self.is_healthy(member, now_ms);
+        let has_capacity = |(_, member): &(&str, &Member)| self.has_capacity(member, urgency, now_ms);
+        if let Some(found) = self.least_loaded(accepting().filter(is_healthy).filter(has_capacity), now_ms) {
+            return Ok(to_pick(found, urgency));
         }
         if self.is_down(service, now_ms) {
             return Err(PickError::Stands);
         }
         let full_or_limited =
             |until_ms: Option<u64>| until_ms.map_or(PickError::Full, |until_ms| PickError::Limited { until_ms });
-        if open().any(|found| is_sound(&found)) {
-            let sound = open().filter(is_sound).map(|(_, member)| member);
-            return Err(full_or_limited(Self::first_free_ms(sound, now_ms)));
+        if accepting().any(|found| is_healthy(&found)) {
+            let healthy = accepting().filter(is_healthy).map(|(_, member)| member);
+            return Err(full_or_limited(Self::earliest_send_ms(healthy, now_ms)));
         }
-        if let Some(found) = self.least_loaded(open().filter(has_room), now_ms) {
-            return Ok(picked(found, urgency));
+        if let Some(found) = self.least_loaded(accepting().filter(has_capacity), now_ms) {
+            return Ok(to_pick(found, urgency));
         }
-        if open().next().is_some() {
-            let all = open().map(|(_, member)| member);
-            return Err(full_or_limited(Self::first_free_ms(all, now_ms)));
+        if accepting().next().is_some() {
+            let all = accepting().map(|(_, member)| member);
+            return Err(full_or_limited(Self::earliest_send_ms(all, now_ms)));
         }
-        let first_end_ms = left().filter_map(|(_, member)| member.notice.backoff_until_ms(now_ms)).min();
-        Err(first_end_ms.map_or(PickError::Nobody, |until_ms| PickError::Paused { until_ms }))
+        let first_backoff_end_ms = candidates().filter_map(|(_, member)| member.notice.backoff_until_ms(now_ms)).min();
+        Err(first_backoff_end_ms.map_or(PickError::Nobody, |until_ms| PickError::Paused { until_ms }))
     }
 
-    /// The endpoints of a service, each once, in an order that differs from draw to draw. Most requests get an endpoint
-    /// among the first few: looking at all of 384 took 48 microseconds a request, this takes a few.
-    fn drawn(&self, service: &str, draw: u64) -> impl Iterator<Item = (&str, &Member)> {
+    /// Iterates over the endpoints of a service in a random order that depends on `random`. Most requests get one of
+    /// the first few endpoints. Looking at all of 384 endpoints took 48 microseconds per request; this takes a few.
+    fn shuffled(&self, service: &str, random: u64) -> impl Iterator<Item = (&str, &Member)> {
         let ids = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        let order = ShuffledOrder::new(ids.len(), draw);
+        let order = ShuffledOrder::new(ids.len(), random);
         order.filter_map(|at| self.members.get(&ids[at]).map(|member| (ids[at].as_str(), member)))
     }
 
-    /// The least loaded of the first few.
+    /// Returns the least loaded of the first [`SAMPLED_ENDPOINTS`] endpoints.
     fn least_loaded<'a>(
         &self,
         found: impl Iterator<Item = (&'a str, &'a Member)>,
         now_ms: u64,
     ) -> Option<(&'a str, &'a Member)> {
-        let compared = found.take(COMPARED);
-        compared.min_by(|a, b| self.pressure(a.1, now_ms).total_cmp(&self.pressure(b.1, now_ms)))
+        let compared = found.take(SAMPLED_ENDPOINTS);
+        compared.min_by(|a, b| self.load_score(a.1, now_ms).total_cmp(&self.load_score(b.1, now_ms)))
     }
 
-    /// Whether its data centre does not count as cut off from this box.
-    fn is_reached(&self, member: &Member, now_ms: u64) -> bool {
-        self.reach.get(&member.record.data_centre).is_none_or(|reach| !reach.is_aside(now_ms))
+    /// Returns whether the endpoint's data centre counts as reachable from this box.
+    fn is_reachable(&self, member: &Member, now_ms: u64) -> bool {
+        self.reach.get(&member.record.data_centre).is_none_or(|reach| !reach.is_avoided(now_ms))
     }
 
-    fn is_sound(&self, member: &Member, now_ms: u64) -> bool {
-        !member.is_aside(now_ms) && !member.is_slow(now_ms) && self.is_serving(member, now_ms)
+    fn is_healthy(&self, member: &Member, now_ms: u64) -> bool {
+        !member.is_ejected(now_ms) && !member.is_slow(now_ms) && self.is_serving(member, now_ms)
     }
 
-    /// Whether all groups of a service are known to stand or to be broken, as far as they are reached.
+    /// Returns whether all reachable groups of a service are known to be stalled or broken.
     #[must_use]
     pub fn is_down(&self, service: &str, now_ms: u64) -> bool {
-        let takes_work = || self.of_service(service).filter(|(_, member)| member.takes_work());
-        let is_any_reached = takes_work().any(|(_, member)| self.is_reached(member, now_ms));
-        let counts = |member: &Member| !is_any_reached || self.is_reached(member, now_ms);
-        let mut members = takes_work().filter(|(_, member)| counts(member)).peekable();
+        let takes_work = || self.members_of_service(service).filter(|(_, member)| member.takes_work());
+        let is_any_reachable = takes_work().any(|(_, member)| self.is_reachable(member, now_ms));
+        let is_counted = |member: &Member| !is_any_reachable || self.is_reachable(member, now_ms);
+        let mut members = takes_work().filter(|(_, member)| is_counted(member)).peekable();
         members.peek().is_some() && members.all(|(_, member)| !self.is_serving(member, now_ms))
     }
 
-    /// Slots of all endpoints of a service that take work.
+    /// Returns the total number of slots at the endpoints of a service that take work.
     #[must_use]
     pub fn slots(&self, service: &str) -> u64 {
-        self.of_service(service).filter(|(_, member)| member.takes_work()).map(|(_, member)| member.record.slots).sum()
+        self.members_of_service(service)
+            .filter(|(_, member)| member.takes_work())
+            .map(|(_, member)| member.record.slots)
+            .sum()
     }
 
-    /// Requests of this box at a service's endpoints that were late when they were sent.
+    /// Returns the number of requests of this box in flight to a service's endpoints that were late when they were
+    /// sent.
     #[must_use]
     pub fn late_in_flight(&self, service: &str) -> u64 {
-        self.of_service(service).map(|(_, member)| member.late_in_flight).sum()
+        self.members_of_service(service).map(|(_, member)| member.late_in_flight).sum()
     }
 
-    /// Whether an endpoint can serve one more request in time.
-    fn has_room(&self, member: &Member, urgency: Urgency, now_ms: u64) -> bool {
+    /// Returns whether an endpoint can serve one more request in time.
+    fn has_capacity(&self, member: &Member, urgency: Urgency, now_ms: u64) -> bool {
         let slots = member.record.slots.max(1) as f64;
-        let most = if self.group_of(member).is_some() { slots + GROUP_WAITING } else { slots * PLAIN_DEPTH };
+        let capacity = if self.group_of(member).is_some() {
+            slots + GROUP_QUEUE_LIMIT
+        } else {
+            slots * UNGROUPED_REQUESTS_PER_SLOT
+        };
         let limit = match urgency {
-            Urgency::Late => most * LATE_DEPTH,
-            Urgency::InAim => most,
+            Urgency::Late => capacity * LATE_CAPACITY_FRACTION,
+            Urgency::InAim => capacity,
         };
-        member.admits_one_more(now_ms) && member.requests(now_ms).round() < limit
+        member.admits_request(now_ms) && member.estimated_requests(now_ms).round() < limit
     }
 
-    /// How loaded an endpoint counts: in a group with longer steps each request takes longer.
-    fn pressure(&self, member: &Member, now_ms: u64) -> f64 {
+    /// Returns the load score of an endpoint. A request takes longer in a group with longer steps.
+    fn load_score(&self, member: &Member, now_ms: u64) -> f64 {
         let group = self.group_of(member);
         let is_silent = group.is_some_and(|group| group.is_silent(now_ms));
-        let step_ms = group.and_then(|group| group.step_ms(now_ms)).unwrap_or(USUAL_STEP_MS) as f64;
-        member.pressure(now_ms) * step_ms * if is_silent { SILENT_LEADER_COST } else { 1.0 }
+        let step_ms = group.and_then(|group| group.step_ms(now_ms)).unwrap_or(DEFAULT_STEP_MS) as f64;
+        member.load_score(now_ms) * step_ms * if is_silent { SILENT_LEADER_FACTOR } else { 1.0 }
     }
 
-    /// Whether the group of an endpoint goes on, as far as known. One of which no group is known, and that came
-    /// after a group had begun to stand, is most likely its missing rank: until the group forms anew it rejects all
-    /// that it is sent. Where it was used before, 100 to 200 requests that had waited for the group went there.
+    /// Returns whether the group of an endpoint is believed to be running. An endpoint without a known group that
+    /// appeared after a group stalled is most likely the missing rank of that group, and rejects all requests until the
+    /// group has formed again. When such endpoints were used earlier, 100 to 200 requests that had waited for the group
+    /// went there.
     pub(super) fn is_serving(&self, member: &Member, now_ms: u64) -> bool {
-        let is_missing_in = |group: &Group| !group.is_serving(now_ms) && group.stood() < member.known();
+        let may_be_missing_rank =
+            |group: &Group| !group.is_serving(now_ms) && group.stalled_at_event() < member.known_since_event();
         match self.group_of(member) {
             Some(group) => group.is_serving(now_ms),
-            None => !self.groups_of(&member.record.service).any(is_missing_in),
+            None => !self.groups_of(&member.record.service).any(may_be_missing_rank),
         }
     }
 
-    /// Whether a request should leave an endpoint for another one: its leader said of late that
-    /// it is slow, and one that is not has room.
+    /// Returns whether a running request should move to another endpoint: its rank was recently reported as slow, and
+    /// an endpoint that is not slow has capacity.
     ///
-    /// Every step of a group takes as long as its slowest rank needs for its own requests. Left
-    /// to end there, ten requests at a rank five times as slow as usual make the steps of 600
-    /// others take 200 ms in place of 65 for three to six seconds; once they are gone, steps
-    /// are short again although the rank is as slow as before.
+    /// Every step of a group takes as long as its slowest rank needs for its own requests. If ten requests finish at a
+    /// rank that is five times slower than usual, the steps of 600 other requests take 200 ms instead of 65 ms for
+    /// three to six seconds. Once the ten requests are gone, steps are short again although the rank is still slow.
     #[must_use]
-    pub fn should_migrate(&self, id: &str, homes: &Homes, service: &str, tried: &[EndpointLife], now_ms: u64) -> bool {
+    pub fn should_migrate(
+        &self,
+        id: &str,
+        allowed_regions: &Homes,
+        service: &str,
+        tried: &[EndpointLife],
+        now_ms: u64,
+    ) -> bool {
         let is_slow = |id: &str| self.members.get(id).is_some_and(|member| member.is_slow(now_ms));
-        let other = || self.pick_in_regions(homes, service, tried, Urgency::InAim, 0, now_ms).ok();
-        is_slow(id) && other().is_some_and(|pick| pick.id != id && !is_slow(&pick.id))
+        let alternative = || self.pick_in_regions(allowed_regions, service, tried, Urgency::InAim, 0, now_ms).ok();
+        is_slow(id) && alternative().is_some_and(|pick| pick.id != id && !is_slow(&pick.id))
     }
 }
 
-fn picked((id, member): (&str, &Member), urgency: Urgency) -> Pick {
+fn to_pick((id, member): (&str, &Member), urgency: Urgency) -> Pick {
     Pick {
         id: id.to_owned(),
         started_ms: member.record.born_ms,
--- a/crates/ochreyard-core/src/direct/endpoint_pool/shuffled_order.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/shuffled_order.rs
@@ -1,23 +1,23 @@
-//! Numbers in an order that is drawn.
+//! A pseudorandom order of indices.
 
 use crate::hash;
 
-/// The numbers below a count, each once, in an order that is drawn: from any start, in steps of any length that has no
-/// divisor in common with the count.
+/// The numbers below a count, each once, in a pseudorandom order. It starts at a random number and advances by a step
+/// that is coprime to the count.
 #[derive(Debug, Clone, Copy)]
 pub struct ShuffledOrder {
     count: u64,
-    left: u64,
-    at: u64,
+    remaining: u64,
+    current: u64,
     step: u64,
 }
 
 impl ShuffledOrder {
-    /// The numbers below `count` in the order of `draw`, which is any evenly spread number.
-    pub fn new(count: usize, draw: u64) -> Self {
+    /// Creates the order of the numbers below `count` from `random`, a uniformly distributed number.
+    pub fn new(count: usize, random: u64) -> Self {
         let count = count as u64;
-        let (start, step) = (hash::mix(draw), hash::mix(!draw));
-        Self { count, left: count, at: start.checked_rem(count).unwrap_or(0), step: coprime_to(count, step) }
+        let (start, step) = (hash::mix(random), hash::mix(!random));
+        Self { count, remaining: count, current: start.checked_rem(count).unwrap_or(0), step: coprime_to(count, step) }
     }
 }
 
@@ -25,16 +25,16 @@
     type Item = usize;
 
     fn next(&mut self) -> Option<usize> {
-        self.left = self.left.checked_sub(1)?;
-        let at = self.at;
-        self.at = (at + self.step) % self.count;
-        usize::try_from(at).ok()
+        self.remaining = self.remaining.checked_sub(1)?;
+        let current = self.current;
+        self.current = (current + self.step) % self.count;
+        usize::try_from(current).ok()
     }
 }
 
-/// The first number from a drawn one on, below `count`, that has no divisor in common with it.
-fn coprime_to(count: u64, draw: u64) -> u64 {
-    let first = draw.checked_rem(count).unwrap_or(0);
+/// Returns the first number from `random % count` on that is coprime to `count`.
+fn coprime_to(count: u64, random: u64) -> u64 {
+    let first = random.checked_rem(count).unwrap_or(0);
     (first..).find(|step| gcd(*step, count) == 1).unwrap_or(1)
 }
 
--- a/crates/ochreyard-core/src/direct/endpoint_pool/slow_start.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/slow_start.rs
@@ -1,41 +1,42 @@
-//! How many requests an endpoint gets at first, once a pause that it asked for is over.
+//! Slow start of requests to an endpoint after a backoff that it asked for.
 //!
-//! All boxes that an endpoint refused within a second of each other come back within a second, and none of them knows
-//! whether it takes work again. So each box sends one request first, and twice as many at a time after each that the
-//! endpoint has taken: one that still refuses gets one request from each box and pause, not as many as it has places.
+//! All boxes that an endpoint rejected within one second resume within one second, and none of them knows whether it
+//! accepts requests again. Each box therefore sends one request first, and doubles the number of concurrent requests
+//! after each accepted one. An endpoint that is still overloaded gets one request per box and backoff, not one per
+//! slot.
 
-/// How many requests of this box an endpoint may have that it has not answered yet.
+/// The limit on requests of this box that an endpoint has not answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SlowStart {
-    /// As many as it has room for.
+    /// Slow start does not apply.
     #[default]
-    Open,
-    /// No more than this, since a pause that it asked for is over.
+    Inactive,
+    /// The limit after a backoff.
     Limited {
-        /// Requests at a time.
+        /// Allowed number of unanswered requests.
         allowed: u64,
     },
 }
 
 impl SlowStart {
-    /// What a pause leaves behind: one request tells whether the endpoint takes work again.
-    pub const AFTER_PAUSE: Self = Self::Limited { allowed: 1 };
+    /// The state after a backoff: a single request probes whether the endpoint accepts requests again.
+    pub const AFTER_BACKOFF: Self = Self::Limited { allowed: 1 };
 
-    /// Whether one more request may go, with so many unanswered.
+    /// Returns whether one more request may be sent beside `unanswered` ones.
     #[must_use]
     pub const fn admits(self, unanswered: u64) -> bool {
         match self {
-            Self::Open => true,
+            Self::Inactive => true,
             Self::Limited { allowed } => unanswered < allowed,
         }
     }
 
-    /// The endpoint has taken a request. From `enough` at a time on it counts as any other.
+    /// Returns the state after the endpoint accepted a request. Slow start ends when the limit reaches `slots`.
     #[must_use]
-    pub const fn after_accepted(self, enough: u64) -> Self {
+    pub const fn after_accepted(self, slots: u64) -> Self {
         match self {
-            Self::Limited { allowed } if allowed * 2 < enough => Self::Limited { allowed: allowed * 2 },
-            _ => Self::Open,
+            Self::Limited { allowed } if allowed * 2 < slots => Self::Limited { allowed: allowed * 2 },
+            _ => Self::Inactive,
         }
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/unavailable_counts.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/unavailable_counts.rs
@@ -1,10 +1,10 @@
-//! How many endpoints ask for something.
+//! Counts of endpoints that accept no new requests.
 
-/// How many endpoints of a service ask this box for something.
+/// The number of endpoints of a service that currently accept no new requests from this box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct UnavailableCounts {
-    /// Those that want no request for now.
+    /// Endpoints that asked for a backoff.
     pub paused: usize,
-    /// Those that leave, by their record or by their own word.
+    /// Endpoints that are leaving, by their record or by a response.
     pub leaving: usize,
 }
