--- a/crates/ochreyard-core/src/direct/endpoint_pool.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool.rs
@@ -37,10 +37,10 @@
 pub use self::pick_error::PickError;
 pub use self::reported_load::ReportedLoad;
 pub use self::unavailable_counts::UnavailableCounts;
+use super::allowed_regions::AllowedRegions;
 use super::catalog::EndpointChange;
-use super::endpoint_life::EndpointLife;
+use super::endpoint_incarnation::EndpointIncarnation;
 use super::endpoint_record::EndpointRecord;
-use super::homes::Homes;
 use super::shared_limit::SharingBoxes;
 
 /// How long a leader's report about its group is used, in milliseconds.
@@ -54,7 +54,7 @@
     groups: HashMap<String, Group>,
     /// What endpoint incarnations without a record have asked for. The record of a running endpoint may expire and come
     /// back.
-    departed: HashMap<EndpointLife, Departed>,
+    departed: HashMap<EndpointIncarnation, Departed>,
     /// The boxes that share rate limits.
     sharing_boxes: SharingBoxes,
     cold_quotas: ColdQuotas,
@@ -80,15 +80,15 @@
     /// Applies a change of the catalog.
     pub fn apply(&mut self, change: EndpointChange) {
         match change {
-            EndpointChange::Known(id, record) => self.insert_or_update(id, record),
-            EndpointChange::Gone(id) => self.remove(&id),
+            EndpointChange::Updated(id, record) => self.insert_or_update(id, record),
+            EndpointChange::Removed(id) => self.remove(&id),
         }
     }
 
     fn insert_or_update(&mut self, id: String, record: EndpointRecord) {
         if let Some(member) = self.members.get_mut(&id)
             && member.record.service == record.service
-            && member.record.born_ms == record.born_ms
+            && member.record.started_ms == record.started_ms
         {
             member.is_evacuated = self.evacuated.contains(&record.data_centre);
             member.record = record;
@@ -97,7 +97,7 @@
         self.remove(&id);
         self.by_service.entry(record.service.clone()).or_default().push(id.clone());
         self.last_event += 1;
-        let incarnation = EndpointLife { id, born_ms: record.born_ms };
+        let incarnation = EndpointIncarnation { id, started_ms: record.started_ms };
         let kept_state = self.departed.remove(&incarnation).unwrap_or_default();
         let cold = self.new_cold_limit(&incarnation.id, &record.service);
         let mut member = Member::new(record, self.last_event, kept_state, cold);
@@ -120,14 +120,14 @@
 
     /// Returns the number of endpoints of a service that lie outside the regions in which a request may run.
     #[must_use]
-    pub fn endpoints_outside_regions(&self, service: &str, allowed_regions: &Homes) -> usize {
+    pub fn endpoints_outside_regions(&self, service: &str, allowed_regions: &AllowedRegions) -> usize {
         self.members_of_service(service)
             .filter(|(_, member)| !self.is_in_allowed_region(allowed_regions, member))
             .count()
     }
 
-    fn is_in_allowed_region(&self, allowed_regions: &Homes, member: &Member) -> bool {
-        allowed_regions.allow(self.regions.get(&member.record.data_centre).map(String::as_str))
+    fn is_in_allowed_region(&self, allowed_regions: &AllowedRegions, member: &Member) -> bool {
+        allowed_regions.allows(self.regions.get(&member.record.data_centre).map(String::as_str))
     }
 
     /// The evacuated data centres, sorted by name.
@@ -139,7 +139,7 @@
         let Some(member) = self.members.remove(id) else { return };
         let departed = Departed { notice: member.notice, limit: member.limit };
         if !departed.is_empty() {
-            let incarnation = EndpointLife { id: id.to_owned(), born_ms: member.record.born_ms };
+            let incarnation = EndpointIncarnation { id: id.to_owned(), started_ms: member.record.started_ms };
             self.departed.insert(incarnation, departed);
         }
         if let Some(ids) = self.by_service.get_mut(&member.record.service) {
@@ -165,11 +165,11 @@
 
     /// Returns the endpoint that was picked, unless it has been replaced by another incarnation.
     fn picked_member(&self, pick: &Pick) -> Option<&Member> {
-        self.members.get(&pick.id).filter(|member| member.record.born_ms == pick.started_ms)
+        self.members.get(&pick.id).filter(|member| member.record.started_ms == pick.started_ms)
     }
 
     /// Like [`Self::picked_member`], with mutable access.
     fn picked_member_mut(&mut self, pick: &Pick) -> Option<&mut Member> {
-        self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.started_ms)
+        self.members.get_mut(&pick.id).filter(|member| member.record.started_ms == pick.started_ms)
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/attempt_events.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/attempt_events.rs
@@ -74,7 +74,7 @@
     }
 
     fn availability_notice_mut(&mut self, pick: &Pick) -> &mut AvailabilityNotice {
-        let member = self.members.get_mut(&pick.id).filter(|member| member.record.born_ms == pick.started_ms);
+        let member = self.members.get_mut(&pick.id).filter(|member| member.record.started_ms == pick.started_ms);
         match member {
             Some(member) => &mut member.notice,
             None => &mut self.departed.entry(pick.incarnation()).or_default().notice,
--- a/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/group.rs
@@ -1,7 +1,7 @@
 //! The state of a group of endpoints whose ranks run each step together.
 
 use super::REPORT_LIFETIME_MS;
-use crate::direct::group_news::{GroupNews, RankNews, TellerRole};
+use crate::direct::group_update::{GroupUpdate, RankUpdate, ReporterRole};
 
 /// How long a group is avoided after one of its ranks reported a fault of another rank, in milliseconds. Its leader has
 /// a better view by then.
@@ -51,12 +51,12 @@
 
     /// Applies a report about the group. Returns whether it counts: the report of an observer is ignored while the
     /// group has a leader.
-    pub fn apply_update(&mut self, update: &GroupNews, event: u64, now_ms: u64) -> bool {
-        match update.teller {
-            TellerRole::Leads => self.leader_reported_ms = Some(now_ms),
-            TellerRole::Observes if self.has_leader(now_ms) => return false,
-            TellerRole::Observes => self.observer_reported_ms = Some(now_ms),
-            TellerRole::StoodDown => {
+    pub fn apply_update(&mut self, update: &GroupUpdate, event: u64, now_ms: u64) -> bool {
+        match update.reporter_role {
+            ReporterRole::Leads => self.leader_reported_ms = Some(now_ms),
+            ReporterRole::Observes if self.has_leader(now_ms) => return false,
+            ReporterRole::Observes => self.observer_reported_ms = Some(now_ms),
+            ReporterRole::StoodDown => {
                 self.leader_reported_ms = None;
                 return false;
             }
@@ -71,7 +71,7 @@
     }
 
     /// Returns the reported ranks with their names.
-    pub fn named_ranks(&mut self, update: &GroupNews) -> Vec<RankNews> {
+    pub fn named_ranks(&mut self, update: &GroupUpdate) -> Vec<RankUpdate> {
         let Some(loads) = &update.loads else {
             self.roster = update.ranks.iter().map(|rank| rank.endpoint.clone()).collect();
             self.unnamed_ranks = 0;
--- a/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/groups.rs
@@ -5,7 +5,7 @@
 use super::group::Group;
 use super::{EndpointPool, LeaderlessGroups, Member, ReportedLoad};
 use crate::direct::endpoint_record::EndpointRecord;
-use crate::direct::group_news::GroupNews;
+use crate::direct::group_update::GroupUpdate;
 
 impl EndpointPool {
     pub(super) fn group_of(&self, member: &Member) -> Option<&Group> {
@@ -23,7 +23,7 @@
     }
 
     /// Applies the report of a group's leader or observer.
-    pub fn apply_group_update(&mut self, update: &GroupNews, now_ms: u64) {
+    pub fn apply_group_update(&mut self, update: &GroupUpdate, now_ms: u64) {
         let key = group_key(&update.service, &update.group);
         self.last_event += 1;
         let event = self.last_event;
--- a/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
@@ -1,7 +1,7 @@
 //! Rate limits that endpoints set for all boxes together, as this box enforces its share of them.
 
 use super::{EndpointPool, LimitUsage, Member, Pick};
-use crate::direct::endpoint_life::EndpointLife;
+use crate::direct::endpoint_incarnation::EndpointIncarnation;
 use crate::direct::shared_limit::{EndpointLimit, LimitUpdate, ReportedLimit, SharedLimit, SharingBoxes};
 
 const MS_PER_S: f64 = 1_000.0;
@@ -34,9 +34,9 @@
         }
     }
 
-    fn limit_mut(&mut self, incarnation: EndpointLife) -> &mut Option<SharedLimit> {
+    fn limit_mut(&mut self, incarnation: EndpointIncarnation) -> &mut Option<SharedLimit> {
         let member =
-            self.members.get_mut(&incarnation.id).filter(|member| member.record.born_ms == incarnation.born_ms);
+            self.members.get_mut(&incarnation.id).filter(|member| member.record.started_ms == incarnation.started_ms);
         match member {
             Some(member) => &mut member.limit,
             None => &mut self.departed.entry(incarnation).or_default().limit,
@@ -75,7 +75,7 @@
         let share_rank = self.sharing_boxes.share_rank(&reported.endpoint);
         let reported_ms = now_ms.saturating_sub(reported.age_ms);
         let version = self.limit_version + 1;
-        let incarnation = EndpointLife { id: reported.endpoint.clone(), born_ms: reported.started_ms };
+        let incarnation = EndpointIncarnation { id: reported.endpoint.clone(), started_ms: reported.started_ms };
         let slot = self.limit_mut(incarnation);
         let is_new_information = match slot {
             Some(limit) => limit.on_peer_report(reported.rate, reported_ms),
@@ -100,9 +100,9 @@
     /// Returns the limits that changed after `version`.
     #[must_use]
     pub fn limit_update_since(&self, version: u64, now_ms: u64) -> LimitUpdate {
-        let members = self.members.iter().map(|(id, member)| (id, member.record.born_ms, &member.limit));
+        let members = self.members.iter().map(|(id, member)| (id, member.record.started_ms, &member.limit));
         let departed =
-            self.departed.iter().map(|(incarnation, departed)| (&incarnation.id, incarnation.born_ms, &departed.limit));
+            self.departed.iter().map(|(incarnation, departed)| (&incarnation.id, incarnation.started_ms, &departed.limit));
         let known =
             members.chain(departed).filter_map(|(id, started_ms, limit)| Some((id, started_ms, limit.as_ref()?)));
         let changed = known.filter(|(_, _, limit)| limit.version() > version);
--- a/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/member.rs
@@ -9,7 +9,7 @@
 use super::slow_start::SlowStart;
 use crate::direct::shared_limit::SharedLimit;
 use crate::direct::waiting::Urgency;
-use crate::direct::{EndpointLife, EndpointRecord};
+use crate::direct::{EndpointIncarnation, EndpointRecord};
 
 /// Weight of the latest outcome in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.15;
@@ -113,8 +113,8 @@
     }
 
     /// Returns whether this is the given incarnation of the endpoint `id`.
-    pub fn is_incarnation(&self, id: &str, incarnation: &EndpointLife) -> bool {
-        incarnation.id == id && incarnation.born_ms == self.record.born_ms
+    pub fn is_incarnation(&self, id: &str, incarnation: &EndpointIncarnation) -> bool {
+        incarnation.id == id && incarnation.started_ms == self.record.started_ms
     }
 
     /// Returns whether the endpoint takes new work: it is not leaving, and its data centre is not evacuated.
--- a/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::direct::waiting::Urgency;
-use crate::direct::{EndpointLife, EndpointRecord};
+use crate::direct::{EndpointIncarnation, EndpointRecord};
 
 /// The endpoint that was picked for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,12 +24,18 @@
     /// Creates a pick of the endpoint `id` from its record, for uses without a request.
     #[must_use]
     pub fn from_record(id: &str, record: &EndpointRecord) -> Self {
-        Self { id: id.to_owned(), started_ms: record.born_ms, addr: record.addr, in_flight: 0, urgency: Urgency::InAim }
+        Self {
+            id: id.to_owned(),
+            started_ms: record.started_ms,
+            addr: record.addr,
+            in_flight: 0,
+            urgency: Urgency::OnTime,
+        }
     }
 
     /// Returns the picked incarnation of the endpoint.
     #[must_use]
-    pub fn incarnation(&self) -> EndpointLife {
-        EndpointLife { id: self.id.clone(), born_ms: self.started_ms }
+    pub fn incarnation(&self) -> EndpointIncarnation {
+        EndpointIncarnation { id: self.id.clone(), started_ms: self.started_ms }
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
@@ -3,8 +3,8 @@
 use super::group::Group;
 use super::shuffled_order::ShuffledOrder;
 use super::{EndpointPool, Member, Pick, PickError};
-use crate::direct::endpoint_life::EndpointLife;
-use crate::direct::homes::Homes;
+use crate::direct::allowed_regions::AllowedRegions;
+use crate::direct::endpoint_incarnation::EndpointIncarnation;
 use crate::direct::waiting::Urgency;
 
 /// Requests, running or queued, that an endpoint without a group may have per slot. A queued request then starts after
@@ -34,12 +34,12 @@
     pub fn pick(
         &self,
         service: &str,
-        tried: &[EndpointLife],
+        tried: &[EndpointIncarnation],
         urgency: Urgency,
         random: u64,
         now_ms: u64,
     ) -> Result<Pick, PickError> {
-        self.pick_in_regions(&Homes::ANY, service, tried, urgency, random, now_ms)
+        self.pick_in_regions(&AllowedRegions::ANY, service, tried, urgency, random, now_ms)
     }
 
     /// Picks the least loaded of a few randomly sampled endpoints of a service that are in an allowed region and not in
@@ -52,9 +52,9 @@
     /// share of this box in their rate limits, or if all groups are stalled.
     pub fn pick_in_regions(
         &self,
-        allowed_regions: &Homes,
+        allowed_regions: &AllowedRegions,
         service: &str,
-        tried: &[EndpointLife],
+        tried: &[EndpointIncarnation],
         urgency: Urgency,
         random: u64,
         now_ms: u64,
@@ -157,7 +157,7 @@
         };
         let limit = match urgency {
             Urgency::Late => capacity * LATE_CAPACITY_FRACTION,
-            Urgency::InAim => capacity,
+            Urgency::OnTime => capacity,
         };
         member.admits_request(now_ms) && member.estimated_requests(now_ms).round() < limit
     }
@@ -190,16 +190,9 @@
     /// rank that is five times slower than usual, the steps of 600 other requests take 200 ms instead of 65 ms for
     /// three to six seconds. Once the ten requests are gone, steps are short again although the rank is still slow.
     #[must_use]
-    pub fn should_migrate(
-        &self,
-        id: &str,
-        allowed_regions: &Homes,
-        service: &str,
-        tried: &[EndpointLife],
-        now_ms: u64,
-    ) -> bool {
+pub fn should_migrate ( & self , id : & str , allowed_regions : & AllowedRegions , service : & str , tried : & [ EndpointIncarnation ] , now_ms : u64 , ) -> bool {
         let is_slow = |id: &str| self.members.get(id).is_some_and(|member| member.is_slow(now_ms));
-        let alternative = || self.pick_in_regions(allowed_regions, service, tried, Urgency::InAim, 0, now_ms).ok();
+        let alternative = || self.pick_in_regions(allowed_regions, service, tried, Urgency::OnTime, 0, now_ms).ok();
         is_slow(id) && alternative().is_some_and(|pick| pick.id != id && !is_slow(&pick.id))
     }
 }
@@ -207,7 +200,7 @@
 fn to_pick((id, member): (&str, &Member), urgency: Urgency) -> Pick {
     Pick {
         id: id.to_owned(),
-        started_ms: member.record.born_ms,
+        started_ms: member.record.started_ms,
         addr: member.record.addr,
         in_flight: member.in_flight,
         urgency,
--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineFigures, GroupNews, Position, RepeatLimits};
+use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineSpec, GroupUpdate, Position, RetryBudgetLimits};
 use ochreyard_core::hash;
 use ochreyard_process::Clock;
 use tokio::sync::{Notify, watch};
@@ -20,9 +20,9 @@
 use crate::containment::Outbox;
 use crate::crash_check::CrashChecks;
 use crate::dialect::Dialect;
-use crate::heard::Heard;
-use crate::link::CallLink;
+use crate::http_client::HttpClient;
 use crate::peers::{Newcomers, PassedOver, PeerEndpoint};
+use crate::sync_cursor::SyncCursor;
 
 /// How long a box that has just started waits for what others know, in milliseconds: a few tries at boxes that may be
 /// gone. Those who come meanwhile are told to come back shortly.
@@ -65,17 +65,17 @@
     /// Other boxes that took no news of late.
     pub passed_over: PassedOver,
     draws: Cell<u64>,
-    links: RefCell<BTreeMap<SocketAddr, Rc<CallLink>>>,
-    heard: RefCell<BTreeMap<SocketAddr, Heard>>,
+    links: RefCell<BTreeMap<SocketAddr, Rc<HttpClient>>>,
+    heard: RefCell<BTreeMap<SocketAddr, SyncCursor>>,
 }
 
 impl<D: Dialect> Entry<D> {
     /// An entry that knows nothing yet. An endpoint that leaves must get no more work
     /// after `leaving_known_ms`.
     #[must_use]
-    pub fn new(dialect: D, identity: Identity, limits: RepeatLimits, leaving_known_ms: u64, clock: Clock) -> Self {
+    pub fn new(dialect: D, identity: Identity, limits: RetryBudgetLimits, leaving_known_ms: u64, clock: Clock) -> Self {
         let state = State::new(limits, leaving_known_ms);
-        let draws = Cell::new(identity.life);
+        let draws = Cell::new(identity.incarnation);
         Self {
             dialect,
             identity,
@@ -107,15 +107,15 @@
     }
 
     /// An evenly spread number that differs from call to call and from box to box.
-    pub fn draw(&self) -> u64 {
+    pub fn next_random(&self) -> u64 {
         self.draws.set(self.draws.get().wrapping_add(1));
         hash::mix(self.draws.get())
     }
 
     /// The kept connection to another box.
-    pub fn link(&self, addr: SocketAddr) -> Rc<CallLink> {
+    pub fn link(&self, addr: SocketAddr) -> Rc<HttpClient> {
         let mut links = self.links.borrow_mut();
-        Rc::clone(links.entry(addr).or_insert_with(|| Rc::new(CallLink::new(addr))))
+        Rc::clone(links.entry(addr).or_insert_with(|| Rc::new(HttpClient::new(addr))))
     }
 
     /// Drops all kept connections, to endpoints and to other boxes.
@@ -128,26 +128,31 @@
     pub fn grouped_services(&self) -> Vec<String> {
         let state = self.state.borrow();
         let services = state.table.iter().flat_map(|table| table.services());
-        let is_grouped = |figures: EngineFigures| figures.sets > 0;
+        let is_grouped = |figures: EngineSpec| figures.sets > 0;
         services.filter(|service| service.engine.is_some_and(is_grouped)).map(|service| service.name.clone()).collect()
     }
 
     /// What the configuration says of the engines of a service.
-    pub fn engine_figures(&self, service: &str) -> Option<EngineFigures> {
+    pub fn engine_figures(&self, service: &str) -> Option<EngineSpec> {
         self.state.borrow().table.as_ref()?.service(service)?.engine
     }
 
     /// Takes what the leader of a group, or an observer, told of it.
-    pub fn take_group_news(&self, news: &GroupNews) {
+    pub fn apply_group_update(&self, news: &GroupUpdate) {
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().pool.apply_group_update(news, now_ms);
-        log::debug!("event=group_told group={} teller={:?} serving={}", news.group, news.teller, news.is_serving);
+        log::debug!(
+            "event=group_told group={} teller={:?} serving={}",
+            news.group,
+            news.reporter_role,
+            news.is_serving
+        );
     }
 
     /// The box to ask for records of endpoints; `None` where this one reads for the others.
     pub fn box_to_ask(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.reading.box_to_ask(self.identity.own(), &state.boxes, self.clock.now_ms())
+        state.reading.source(self.identity.own(), &state.boxes, self.clock.now_ms())
     }
 
     /// Takes a configuration over if it is newer than the one in force: never an
@@ -183,7 +188,7 @@
             }
         };
         let now_ms = self.clock.now_ms();
-        let change = self.state.borrow_mut().catalog.take(id, position, record, now_ms);
+        let change = self.state.borrow_mut().catalog.apply(id, position, record, now_ms);
         self.apply(change);
     }
 
@@ -191,7 +196,7 @@
     pub fn take_peer_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let now_ms = self.clock.now_ms();
         for PeerEndpoint { id, position, record } in endpoints {
-            let change = self.state.borrow_mut().catalog.take(&id, position, record, now_ms);
+            let change = self.state.borrow_mut().catalog.apply(&id, position, record, now_ms);
             self.apply(change);
         }
     }
@@ -205,18 +210,18 @@
     pub fn apply(&self, changes: impl IntoIterator<Item = EndpointChange>) {
         for change in changes {
             match &change {
-                EndpointChange::Known(id, record) => log::info!(
+                EndpointChange::Updated(id, record) => log::info!(
                     "event=endpoint_known endpoint={id} service={} addr={} leaving={} cold_ms={}",
                     record.service,
                     record.addr,
                     record.is_leaving,
                     record.cold_ms
                 ),
-                EndpointChange::Gone(id) => log::info!("event=endpoint_gone endpoint={id}"),
+                EndpointChange::Removed(id) => log::info!("event=endpoint_gone endpoint={id}"),
             }
             let cold = match &change {
-                EndpointChange::Known(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
-                EndpointChange::Known(..) | EndpointChange::Gone(_) => None,
+                EndpointChange::Updated(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
+                EndpointChange::Updated(..) | EndpointChange::Removed(_) => None,
             };
             let now_ms = self.clock.now_ms();
             let mut state = self.state.borrow_mut();
@@ -234,30 +239,30 @@
         }
         let mut state = self.state.borrow_mut();
         let addr = record.addr;
-        if state.boxes.take(name, record) {
+        if state.boxes.insert(name, record) {
             self.deal_shares(&mut state);
             log::info!("event=box_known box={name} addr={addr} boxes={}", state.boxes.len() + 1);
         }
     }
 
     /// How much of what another box tells step by step is known here.
-    pub fn heard(&self, addr: SocketAddr) -> Heard {
+    pub fn heard(&self, addr: SocketAddr) -> SyncCursor {
         self.heard.borrow().get(&addr).copied().unwrap_or_default()
     }
 
     /// Notes how much of what another box tells is known here.
-    pub fn note_heard(&self, addr: SocketAddr, heard: Heard) {
+    pub fn note_heard(&self, addr: SocketAddr, heard: SyncCursor) {
         self.heard.borrow_mut().insert(addr, heard);
     }
 
     /// Notes whether the platform's log answers.
-    pub fn note_log(&self, answers: bool, problem: &str) {
+    pub fn set_log_reachable(&self, answers: bool, problem: &str) {
         let mut state = self.state.borrow_mut();
         let now_ms = self.clock.now_ms();
         if answers {
             state.catalog.on_log_read(now_ms);
         } else {
-            state.catalog.on_log_away(now_ms);
+            state.catalog.on_log_unreachable(now_ms);
         }
         if state.log_answers != answers {
             state.log_answers = answers;
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use ochreyard_core::direct::{BoxRecord, EvacuationNews, LimitUpdate, QuarantineUpdate};
+use ochreyard_core::direct::{BoxRecord, EvacuationUpdate, LimitUpdate, QuarantineUpdate};
 use serde::{Deserialize, Serialize};
 
 use super::peer_endpoint::PeerEndpoint;
 use super::peer_reading::PeerReading;
-use crate::heard::Heard;
+use crate::sync_cursor::SyncCursor;
 
 /// What a box knows and another one may lack.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
@@ -16,7 +16,7 @@
     pub config: Option<String>,
     /// What is known of evacuations of data centres.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationUpdate>,
     /// Endpoints that changed since the position that the asker named.
     pub endpoints: Vec<PeerEndpoint>,
     /// How far the records of endpoints were read, and how long ago.
@@ -40,5 +40,5 @@
     pub is_busy: bool,
     /// How far the asker knows what is told step by step, with this.
     #[serde(default)]
-    pub told: Heard,
+    pub told: SyncCursor,
 }
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -25,7 +25,7 @@
 
 /// Starts the answer to the caller; the rest follows as it arrives.
 pub fn stream<D: Dialect>(job: Job<D>, answer: Answer<D>) -> Response<AnswerBody> {
-    let last_event = &job.entry.dialect.headers().last_event;
+    let last_event = &job.entry.dialect.headers().last_event_id;
     let seen = job.request.headers.get(last_event).and_then(|value| value.to_str().ok()).map(str::to_owned);
     let head = answer.head.clone();
     meters::on_stream_start(&job.service, job.elapsed_ms());
@@ -98,13 +98,13 @@
                 answer.flight.on_heard();
                 let data = frame.into_data().unwrap_or_default();
                 let whole = self.splitter.push(&data);
-                if self.splitter.part_bytes() > MAX_EVENT_BYTES {
+                if self.splitter.partial_event_bytes() > MAX_EVENT_BYTES {
                     return Step::Broken { cause: "an event is too long".to_owned(), is_lost: false };
                 }
                 if whole.count == 0 { Step::Part } else { Step::Events(whole.bytes) }
             }
             Ok(Some(Err(error))) => Step::Broken { cause: error.to_string(), is_lost: true },
-            Ok(None) if self.splitter.has_part() => {
+            Ok(None) if self.splitter.has_partial_event() => {
                 Step::Broken { cause: "ended within an event".to_owned(), is_lost: true }
             }
             Ok(None) => {
@@ -134,7 +134,7 @@
     fn drop_answer(&mut self) -> Option<Pick> {
         let answer = self.answer.take()?;
         answer.flight.set(AttemptOutcome::Failed);
-        self.splitter.drop_part();
+        self.splitter.discard_partial_event();
         Some(answer.pick.clone())
     }
 
@@ -145,7 +145,7 @@
             return false;
         }
         if let Some(last) = self.splitter.last_id().and_then(|id| HeaderValue::from_str(id).ok()) {
-            let name = self.job.entry.dialect.headers().last_event.clone();
+            let name = self.job.entry.dialect.headers().last_event_id.clone();
             self.job.request.headers.insert(name, last);
         }
         match self.job.next_answer().await {
