--- a/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/limits.rs
@@ -101,8 +101,10 @@
     #[must_use]
     pub fn limit_update_since(&self, version: u64, now_ms: u64) -> LimitUpdate {
         let members = self.members.iter().map(|(id, member)| (id, member.record.started_ms, &member.limit));
-        let departed =
-            self.departed.iter().map(|(incarnation, departed)| (&incarnation.id, incarnation.started_ms, &departed.limit));
+        let departed = self
+            .departed
+            .iter()
+            .map(|(incarnation, departed)| (&incarnation.id, incarnation.started_ms, &departed.limit));
         let known =
             members.chain(departed).filter_map(|(id, started_ms, limit)| Some((id, started_ms, limit.as_ref()?)));
         let changed = known.filter(|(_, _, limit)| limit.version() > version);
--- a/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/selection.rs
@@ -190,7 +190,14 @@
     /// rank that is five times slower than usual, the steps of 600 other requests take 200 ms instead of 65 ms for
     /// three to six seconds. Once the ten requests are gone, steps are short again although the rank is still slow.
     #[must_use]
-pub fn should_migrate ( & self , id : & str , allowed_regions : & AllowedRegions , service : & str , tried : & [ EndpointIncarnation ] , now_ms : u64 , ) -> bool {
+    pub fn should_migrate(
+        &self,
+        id: &str,
+        allowed_regions: &AllowedRegions,
+        service: &str,
+        tried: &[EndpointIncarnation],
+        now_ms: u64,
+    ) -> bool {
         let is_slow = |id: &str| self.members.get(id).is_some_and(|member| member.is_slow(now_ms));
         let alternative = || self.pick_in_regions(allowed_regions, service, tried, Urgency::OnTime, 0, now_ms).ok();
         is_slow(id) && alternative().is_some_and(|pick| pick.id != id && !is_slow(&pick.id))
