--- a/crates/ochreyard-core/src/direct/shared_limit/limit_update.rs
+++ b/crates/ochreyard-core/src/direct/shared_limit/limit_update.rs
@@ -1,32 +1,32 @@
-//! What boxes tell each other of limits.
+//! The updates about rate limits that boxes exchange.
 
 use serde::{Deserialize, Serialize};
 
 use super::request_rate::RequestRate;
 
-/// The limit of one life of an endpoint, as one box tells another.
+/// The limit of one endpoint incarnation, as one box reports it to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLimit {
-    /// The endpoint's identifier.
+    /// Identifier of the endpoint.
     pub endpoint: String,
-    /// When this life of it started.
+    /// Start time of the endpoint incarnation.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
-    /// What it takes from all boxes together; `None` where its limit has ended.
+    /// The rate that the endpoint accepts from all boxes together; `None` if its limit has ended.
     pub rate: Option<RequestRate>,
-    /// How long ago an answer of it said so, in milliseconds.
+    /// Time since a response of the endpoint reported the limit, in milliseconds.
     pub age_ms: u64,
 }
 
 /// Limits that became known, changed, ended or were confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LimitUpdate {
-    /// The limits.
+    /// The limits of the endpoints concerned.
     pub limits: Vec<EndpointLimit>,
 }
 
 impl LimitUpdate {
-    /// Whether there are none.
+    /// Returns whether the update contains no limits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.limits.is_empty()
--- a/crates/ochreyard-core/src/direct/shared_limit/quota_share.rs
+++ b/crates/ochreyard-core/src/direct/shared_limit/quota_share.rs
@@ -1,71 +1,71 @@
-//! The part of one box in what all boxes together may send to an endpoint.
+//! The share of one box in the quota of an endpoint.
 
 use std::collections::VecDeque;
 
 use super::quota::Quota;
 use super::share_rank::ShareRank;
 
-/// Least time between two requests of this box, as a share of what an even pace would be: callers that wait are served
-/// through the whole window, not all at its start.
-const LEAST_GAP: f64 = 0.75;
+/// The least time between two requests of this box, as a fraction of the even interval. It spreads the share over the
+/// window, so that waiting callers are not all served at its start.
+const MIN_GAP_FRACTION: f64 = 0.75;
 
-/// The part of this box in a [`Quota`] that is dealt to all boxes, and what it has sent of late.
+/// The share of this box in a [`Quota`], and the requests that it has sent recently.
 #[derive(Debug, Clone)]
 pub struct QuotaShare {
-    place: ShareRank,
-    /// When this box sent its last requests, oldest first.
+    share_rank: ShareRank,
+    /// The times of the last requests that this box sent, oldest first.
     sent_ms: VecDeque<u64>,
 }
 
 impl QuotaShare {
-    /// The part of the box at `place`, which has sent nothing yet.
+    /// Creates the share of a box at `share_rank` that has sent nothing yet.
     #[must_use]
-    pub const fn new(place: ShareRank) -> Self {
-        Self { place, sent_ms: VecDeque::new() }
+    pub const fn new(share_rank: ShareRank) -> Self {
+        Self { share_rank, sent_ms: VecDeque::new() }
     }
 
-    /// The place of this box among those that share the quota.
+    /// Returns the position of this box among the boxes that share the quota.
     #[must_use]
     pub const fn share_rank(&self) -> ShareRank {
-        self.place
+        self.share_rank
     }
 
-    /// Other boxes take part.
-    pub const fn set_share_rank(&mut self, place: ShareRank) {
-        self.place = place;
+    /// Replaces the position of this box among the boxes that share the quota.
+    pub const fn set_share_rank(&mut self, share_rank: ShareRank) {
+        self.share_rank = share_rank;
     }
 
-    /// What this box may send of a quota.
+    /// Returns the part of the quota that this box may use.
     #[must_use]
     pub const fn share_of(&self, quota: Quota) -> Quota {
-        Quota { count: quota.share(self.place), window_ms: quota.window_ms }
+        Quota { count: quota.share(self.share_rank), window_ms: quota.window_ms }
     }
 
-    /// When the next request may be sent, beside `unsent` that were picked and are not sent yet; `None` where this box has
-    /// no part of the quota.
+    /// Returns the earliest time for the next request, in addition to `unsent` requests that were picked but not sent
+    /// yet. Returns `None` if the share of this box is empty.
     #[must_use]
     pub fn next_send_ms(&self, quota: Quota, unsent: u64, now_ms: u64) -> Option<u64> {
         let Quota { count, window_ms } = self.share_of(quota);
         if count == 0 {
             return None;
         }
-        let gap_ms = (window_ms as f64 * LEAST_GAP / count as f64) as u64;
+        let gap_ms = (window_ms as f64 * MIN_GAP_FRACTION / count as f64) as u64;
         let paced_ms = if unsent > 0 { now_ms + unsent * gap_ms } else { self.after_last_ms(1, gap_ms) };
-        let in_window_ms = match count.checked_sub(unsent) {
+        let within_quota_ms = match count.checked_sub(unsent) {
             Some(left) if left > 0 => self.after_last_ms(left, window_ms),
             _ => now_ms + window_ms,
         };
-        Some(paced_ms.max(in_window_ms))
+        Some(paced_ms.max(within_quota_ms))
     }
 
-    /// The end of a pause after the `n`th last request was sent; 0 where there were fewer.
+    /// Returns the time `interval_ms` after the `n`th last request, or 0 if fewer requests were sent.
     #[must_use]
-    pub fn after_last_ms(&self, n: u64, pause_ms: u64) -> u64 {
+    pub fn after_last_ms(&self, n: u64, interval_ms: u64) -> u64 {
         let at = usize::try_from(n).ok().and_then(|n| self.sent_ms.len().checked_sub(n));
-        at.map_or(0, |at| self.sent_ms[at] + pause_ms)
+        at.map_or(0, |at| self.sent_ms[at] + interval_ms)
     }
 
-    /// A request is sent; those that lie a window back count no more.
+    /// Counts a request as sent, and removes requests that are older than the window.
     pub fn on_sent(&mut self, window_ms: u64, now_ms: u64) {
         while self.sent_ms.front().is_some_and(|sent_ms| sent_ms + window_ms <= now_ms) {
             self.sent_ms.pop_front();
@@ -73,14 +73,14 @@
         self.sent_ms.push_back(now_ms);
     }
 
-    /// A request that counts as sent at `sent_ms` never reached the endpoint.
+    /// Removes a request that was counted at `sent_ms` but never reached the endpoint.
     pub fn undo_send(&mut self, sent_ms: u64) {
         if let Some(at) = self.sent_ms.iter().rposition(|other| *other == sent_ms) {
             self.sent_ms.remove(at);
         }
     }
 
-    /// Requests that this box sent within the last window.
+    /// Returns the number of requests that this box sent within the last `window_ms`.
     #[must_use]
     pub fn sent_within(&self, window_ms: u64, now_ms: u64) -> usize {
         self.sent_ms.iter().filter(|sent_ms| **sent_ms + window_ms > now_ms).count()
--- a/crates/ochreyard-core/src/direct/shared_limit/reported_limit.rs
+++ b/crates/ochreyard-core/src/direct/shared_limit/reported_limit.rs
@@ -1,27 +1,27 @@
-//! What one answer of an endpoint says of its limit.
+//! The rate limit that a single response reports.
 
 use super::request_rate::RequestRate;
 
-/// What one answer says of the limit of the endpoint that gave it.
+/// What one response says about the limit of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ReportedLimit {
-    /// Nothing: it is no answer to the request, or not a whole one.
+    /// The response says nothing, because it is incomplete or does not answer the request itself.
     #[default]
     Unknown,
-    /// It names none, so there is none.
+    /// The endpoint has no limit.
     Unlimited,
-    /// What the endpoint takes from all boxes together.
+    /// The rate that the endpoint accepts from all boxes together.
     Limited(RequestRate),
 }
 
 impl ReportedLimit {
-    /// The limit that an answer names; `is_own` says whether it is a whole answer to the request that was sent, which
-    /// would name a limit if there were one.
+    /// Reads the limit from header values. `is_complete_response` says whether they belong to a complete response to
+    /// the request that was sent, which would name a limit if there were one.
     #[must_use]
-    pub fn from_header_values<'a>(values: impl Iterator<Item = &'a [u8]>, is_own: bool) -> Self {
+    pub fn from_header_values<'a>(values: impl Iterator<Item = &'a [u8]>, is_complete_response: bool) -> Self {
         match super::request_rate::parse_limit(values) {
             Some(rate) => Self::Limited(rate),
-            None if is_own => Self::Unlimited,
+            None if is_complete_response => Self::Unlimited,
             None => Self::Unknown,
         }
     }
--- a/crates/ochreyard-core/src/direct/shared_limit/share_rank.rs
+++ b/crates/ochreyard-core/src/direct/shared_limit/share_rank.rs
@@ -1,10 +1,10 @@
-//! The place of one box among those that share something.
+//! The position of one box among the boxes that share a quota.
 
-/// The place of one box among all that share a limit.
+/// The position of one box among all boxes that share a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareRank {
-    /// How many boxes come before it.
+    /// Number of boxes before this one.
     pub rank: u64,
-    /// How many share it, this one included.
+    /// Number of boxes that share the quota, including this one.
     pub boxes: u64,
 }
--- a/crates/ochreyard-core/src/direct/shared_limit/sharing_boxes.rs
+++ b/crates/ochreyard-core/src/direct/shared_limit/sharing_boxes.rs
@@ -1,49 +1,50 @@
-//! The boxes that share limits, and the place of this one among them.
+//! The boxes that share rate limits, and the position of this box among them.
 
 use super::share_rank::ShareRank;
 use crate::hash;
 
-/// Boxes that are reckoned with while the list of boxes is not known whole: more than any fleet of today has. A box that
-/// knows too little takes too small a part.
+/// Number of boxes that is assumed while the list of boxes is incomplete: more than any current fleet has. A box that
+/// knows too few boxes then takes too small a share.
 const ASSUMED_BOXES: u64 = 128;
 
-/// The boxes that share limits.
+/// The boxes that share rate limits.
 ///
-/// All boxes find the same order for an endpoint without asking each other, and different orders for different endpoints, so
-/// what cannot be dealt evenly falls to different boxes.
+/// All boxes compute the same order for an endpoint without coordination (rendezvous hashing). The order differs
+/// between endpoints, so the remainders of the divisions go to different boxes.
 #[derive(Debug, Clone, Default)]
 pub struct SharingBoxes {
     own: u64,
     others: Vec<u64>,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl SharingBoxes {
-    /// The box `own` and all others that it knows; `is_whole` says whether it has seen the whole list of boxes.
-    pub fn new<'a>(own: &str, others: impl Iterator<Item = &'a str>, is_whole: bool) -> Self {
-        let number = |name: &str| hash::fnv1a(name.as_bytes());
-        Self { own: number(own), others: others.map(number).collect(), is_whole }
+    /// Creates the set of this box `own` and the `others` that it knows. `is_complete` says whether it has seen the
+    /// complete list of boxes.
+    pub fn new<'a>(own: &str, others: impl Iterator<Item = &'a str>, is_complete: bool) -> Self {
+        let hash_name = |name: &str| hash::fnv1a(name.as_bytes());
+        Self { own: hash_name(own), others: others.map(hash_name).collect(), is_complete }
     }
 
-    /// How many boxes to reckon with, this one included.
+    /// Returns the number of boxes to assume, including this one.
     #[must_use]
     pub fn count(&self) -> u64 {
         let known = self.others.len() as u64 + 1;
-        if self.is_whole { known } else { known.max(ASSUMED_BOXES) }
+        if self.is_complete { known } else { known.max(ASSUMED_BOXES) }
     }
 
-    /// The place of this box where something is shared under `key`. While the list of boxes is not known whole, it is the
-    /// last one.
+    /// Returns the position of this box in the order for `key`. While the list of boxes is incomplete, it is the last
+    /// one.
     #[must_use]
     pub fn share_rank(&self, key: &str) -> ShareRank {
         let boxes = self.count();
-        if !self.is_whole {
+        if !self.is_complete {
             return ShareRank { rank: boxes - 1, boxes };
         }
         let key = hash::fnv1a(key.as_bytes());
         let weight = |name: u64| hash::mix(hash::mix(key) ^ name);
         let own = weight(self.own);
-        let before = self.others.iter().filter(|other| weight(**other) < own).count();
-        ShareRank { rank: before as u64, boxes }
+        let boxes_before = self.others.iter().filter(|other| weight(**other) < own).count();
+        ShareRank { rank: boxes_before as u64, boxes }
     }
 }
