--- a/crates/ochreyard-core/src/direct/endpoint_signals.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_signals.rs
@@ -1,31 +1,32 @@
-//! What an endpoint's answer tells of the endpoint itself.
+//! What a response reports about the state of its endpoint.
 
 use super::endpoint_pool::ReportedLoad;
 use super::shared_limit::ReportedLimit;
 use crate::retry_after;
 
-/// How long an endpoint is left alone that asks for it in words that cannot be read, in milliseconds: it wants
-/// fewer requests, and the times that endpoints name are seconds.
-const UNREADABLE_BACKOFF_MS: u64 = 1_000;
+/// The backoff that is assumed if the `Retry-After` header cannot be parsed, in milliseconds. The endpoint wants fewer
+/// requests, and endpoints name whole seconds.
+const FALLBACK_BACKOFF_MS: u64 = 1_000;
 
-/// What an endpoint's answer tells of the endpoint itself.
+/// What a response reports about the state of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointSignals {
-    /// For how long it wants no further request from this box, in milliseconds.
+    /// How long the endpoint wants no further requests from this box, in milliseconds.
     pub backoff_ms: Option<u64>,
-    /// Whether it leaves.
+    /// Whether the endpoint is leaving.
     pub is_leaving: bool,
-    /// Its load.
+    /// The load of the endpoint.
     pub load: Option<ReportedLoad>,
-    /// What it says of its limit.
+    /// The rate limit of the endpoint.
     pub limit: ReportedLimit,
 }
 
-/// For how long an endpoint wants no request that answers with these `Retry-After` headers, in milliseconds: the
-/// longest time that can be read. `None` where it asks for nothing.
+/// Returns the longest backoff that the values of the `Retry-After` headers ask for, in milliseconds, or `None` if
+/// there are no values.
 #[must_use]
 pub fn parse_backoff_ms<'a>(values: impl Iterator<Item = &'a [u8]>) -> Option<u64> {
-    let times = values.map(|value| std::str::from_utf8(value).ok().and_then(|text| retry_after::parse_ms(text).ok()));
-    let longest = times.max()?;
-    Some(longest.unwrap_or(UNREADABLE_BACKOFF_MS))
+    let backoffs =
+        values.map(|value| std::str::from_utf8(value).ok().and_then(|text| retry_after::parse_ms(text).ok()));
+    let longest = backoffs.max()?;
+    Some(longest.unwrap_or(FALLBACK_BACKOFF_MS))
 }
--- a/crates/ochreyard-core/src/direct/fingerprint.rs
+++ b/crates/ochreyard-core/src/direct/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two attempts the same request.
+//! Identity of requests across attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,24 +6,24 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: half of the digest, which leaves a collision to be found by 2^64 tries.
+/// Bytes of a fingerprint: half of the SHA-256 digest. Finding a collision takes about 2^64 attempts.
 const BYTES: usize = 16;
 
-/// A digest of who sends a request, and of what is sent.
+/// A digest of a request and of its sender.
 ///
-/// Each attempt of a caller has an identifier of its own, so only the contents tell that a request
-/// comes again. The workspace is part of it: nobody can make a request that is taken for that of another workspace.
+/// Each attempt of a caller has its own identifier, so only the contents show that a request is repeated. The workspace
+/// is part of the digest, so that no caller can create a request that is taken for one of another workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Fingerprint([u8; BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request's parts, in their order.
+    /// Computes the fingerprint of a request from its parts, in order.
     #[must_use]
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut digest = Sha256::new();
         for part in parts {
-            // Without its length, the end of one part could pass for the start of the next.
+            // Without the lengths, bytes could move from one part to the next without changing the digest.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
@@ -34,7 +34,7 @@
 }
 
 impl Fingerprint {
-    /// A part of it as a number: as evenly spread.
+    /// Returns the first eight bytes as a uniformly distributed number.
     #[must_use]
     pub fn to_u64(self) -> u64 {
         self.0[..size_of::<u64>()].iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
@@ -47,7 +47,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// The error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("a fingerprint has 32 hexadecimal digits")]
 pub struct ParseFingerprintError;
--- a/crates/ochreyard-core/src/direct/quarantine.rs
+++ b/crates/ochreyard-core/src/direct/quarantine.rs
@@ -1,17 +1,17 @@
-//! Requests that crash the endpoints which run them: found out, tried one at a time, and refused.
+//! Quarantine of requests that crash the endpoints which run them.
 //!
-//! A request is known by its [`Fingerprint`], whichever attempt it is and at whichever entry it arrives. Entries tell
-//! each other of crashes, and each judges all that it knows by the same rule, so none has to decide for the others and
-//! an entry that is cut off goes on by what it sees.
+//! A request is identified by its [`Fingerprint`], regardless of the attempt and of the entry at which it arrives.
+//! Entries report crashes to each other, and each entry evaluates all reports by the same rule. No entry has to decide
+//! for the others, and an entry that is cut off continues with the crashes that it saw itself.
 //!
-//! One crash leaves a request free: most of those that an endpoint had are bystanders. After two, soon after it began to
-//! run, it runs on trial: one copy at a time over all entries, and no repeat of ours. After three it is refused for a
-//! time. A run that ends well clears it.
+//! After one crash a request remains allowed, since most requests at a crashed endpoint are bystanders. After two
+//! crashes, one of them soon after the request began to run, it runs only as a trial: one copy at a time across all
+//! entries, without retries by the entry. After three crashes it is refused for a time. A successful run clears it.
 
 mod crash;
 mod crash_list;
+mod crash_scores;
 mod decision;
-mod evidence;
 mod quarantine_period;
 mod quarantined_request;
 mod replication;
@@ -20,94 +20,99 @@
 use std::collections::HashMap;
 
 use self::crash_list::CrashList;
+use self::crash_scores::{QUARANTINE_SCORE, TRIAL_SCORE};
 pub use self::decision::QuarantineDecision;
-use self::evidence::{TRIAL_WEIGHT, VERDICT_WEIGHT};
-use self::quarantine_period::Verdict;
+use self::quarantine_period::QuarantinePeriod;
 pub use self::quarantined_request::QuarantinedRequest;
 pub use self::update::{ClearedRequest, CrashReport, LostRequest, QuarantineEntry, QuarantineUpdate, RunningTrial};
 use super::fingerprint::Fingerprint;
 
-/// How long copies of a suspect are kept back while one is tried, in milliseconds. Endpoints that were crashed by a
-/// request ended 40 to 110 ms after they began to run it; before that it may wait for a place for a second or two.
+/// How long copies of a suspect are held back during its trial, in milliseconds. Endpoints crashed 40 to 110 ms after
+/// they began to run such a request, and before that it may be queued for a second or two.
 const TRIAL_MS: u64 = 3_000;
-/// Verdicts that are kept: each takes 64 bytes. The one that ends first is forgotten first.
-const MAX_VERDICTS: usize = 1_024;
-/// Trials that are kept.
+/// Maximum number of quarantine periods that are kept, at 64 bytes each. The one that ends first is removed first.
+const MAX_PERIODS: usize = 1_024;
+/// Maximum number of trials that are kept.
 const MAX_TRIALS: usize = 1_024;
 
 #[derive(Debug, Clone, Copy)]
-struct Cleared {
+struct Clearance {
     at_ms: u64,
-    change: u64,
+    version: u64,
 }
 
-/// What is known of requests that crash endpoints.
+/// The quarantine of requests that crash endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     crashes: CrashList,
-    cleared: HashMap<Fingerprint, Cleared>,
-    verdicts: HashMap<Fingerprint, Verdict>,
-    /// Until when copies of a suspect are kept back.
+    cleared: HashMap<Fingerprint, Clearance>,
+    periods: HashMap<Fingerprint, QuarantinePeriod>,
+    /// The time until which copies of each suspect under trial are held back.
     trials: HashMap<Fingerprint, u64>,
-    weights: HashMap<Fingerprint, u32>,
-    changes: u64,
+    scores: HashMap<Fingerprint, u32>,
+    version: u64,
 }
 
 impl Quarantine {
-    /// Whether nothing is suspected. Then no request needs its fingerprint.
+    /// Returns whether no request is suspected, in which case fingerprints need not be computed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.crashes.all().is_empty() && self.verdicts.is_empty()
+        self.crashes.all().is_empty() && self.periods.is_empty()
     }
 
-    /// Requests that are refused now.
+    /// Returns the number of requests that are currently refused.
     #[must_use]
     pub fn quarantined_count(&self, now_ms: u64) -> usize {
-        self.verdicts.values().filter(|verdict| verdict.left_ms(now_ms).is_some()).count()
+        self.periods.values().filter(|period| period.left_ms(now_ms).is_some()).count()
     }
 
-    /// Requests on which something was decided that still holds: that they are refused, or that they were released.
+    /// Returns the requests with a decision that still applies: those that are refused and those that were released.
     #[must_use]
     pub fn active_decisions(&self, now_ms: u64) -> Vec<Fingerprint> {
-        let refused =
-            self.verdicts.iter().filter(|(_, verdict)| verdict.left_ms(now_ms).is_some()).map(|(one, _)| *one);
-        let released = self.cleared.keys().filter(|one| !self.verdicts.contains_key(one)).copied();
+        let refused = self
+            .periods
+            .iter()
+            .filter(|(_, period)| period.left_ms(now_ms).is_some())
+            .map(|(fingerprint, _)| *fingerprint);
+        let released = self.cleared.keys().filter(|fingerprint| !self.periods.contains_key(fingerprint)).copied();
         refused.chain(released).collect()
     }
 
-    /// The verdict on a request that is refused now.
+    /// Returns the quarantine entry of a request that is currently refused.
     #[must_use]
     pub fn entry(&self, fingerprint: Fingerprint, now_ms: u64) -> Option<QuarantineEntry> {
-        let verdict = self.verdicts.get(&fingerprint).filter(|verdict| verdict.left_ms(now_ms).is_some())?;
-        Some(verdict_news(fingerprint, verdict, now_ms))
+        let period = self.periods.get(&fingerprint).filter(|period| period.left_ms(now_ms).is_some())?;
+        Some(quarantine_entry(fingerprint, period, now_ms))
     }
 
-    /// All requests that are refused now, for operators: those that are refused longest first.
+    /// Returns all requests that are currently refused, for operators. Those with the longest remaining time come
+    /// first.
     #[must_use]
     pub fn quarantined_requests(&self, now_ms: u64) -> Vec<QuarantinedRequest> {
-        let refused = self.verdicts.iter().filter(|(_, verdict)| verdict.left_ms(now_ms).is_some());
-        let mut listed: Vec<QuarantinedRequest> =
-            refused.map(|(one, verdict)| self.judged(*one, verdict, now_ms)).collect();
-        listed.sort_by_key(|one| std::cmp::Reverse(one.for_ms));
-        listed
+        let refused = self.periods.iter().filter(|(_, period)| period.left_ms(now_ms).is_some());
+        let mut quarantined: Vec<QuarantinedRequest> =
+            refused.map(|(fingerprint, period)| self.quarantined_request(*fingerprint, period, now_ms)).collect();
+        quarantined.sort_by_key(|request| std::cmp::Reverse(request.for_ms));
+        quarantined
     }
 
-    /// An operator releases a request: nothing that it did before counts any longer. Gives what others are told.
+    /// Releases a request on behalf of an operator, so that its earlier crashes no longer count. Returns the update for
+    /// other entries.
     pub fn release(&mut self, fingerprint: Fingerprint, now_ms: u64) -> QuarantineUpdate {
         self.clear(fingerprint, now_ms);
-        self.judge(now_ms);
+        self.evaluate(now_ms);
         QuarantineUpdate { cleared: vec![ClearedRequest { fingerprint, age_ms: 0 }], ..QuarantineUpdate::default() }
     }
 
-    /// What may be done with a request.
+    /// Returns what may be done with a request now.
     #[must_use]
     pub fn decision(&self, fingerprint: Fingerprint, now_ms: u64) -> QuarantineDecision {
-        let verdict = self.verdicts.get(&fingerprint);
-        if let Some(left_ms) = verdict.and_then(|verdict| verdict.left_ms(now_ms)) {
+        let period = self.periods.get(&fingerprint);
+        if let Some(left_ms) = period.and_then(|period| period.left_ms(now_ms)) {
             return QuarantineDecision::Refuse { left_ms };
         }
-        let weight = self.weights.get(&fingerprint).copied().unwrap_or(0);
-        if verdict.is_none() && weight < TRIAL_WEIGHT {
+        let score = self.scores.get(&fingerprint).copied().unwrap_or(0);
+        if period.is_none() && score < TRIAL_SCORE {
             return QuarantineDecision::Allow;
         }
         match self.trials.get(&fingerprint) {
@@ -116,31 +121,34 @@
         }
     }
 
-    /// A suspect is sent to an endpoint. Gives what others are told, so that they keep copies back.
+    /// Records that a suspect is being sent to an endpoint. Returns the update that makes other entries hold back
+    /// copies of it.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint, now_ms: u64) -> QuarantineUpdate {
-        self.keep_back(fingerprint, now_ms + TRIAL_MS);
+        self.hold_back(fingerprint, now_ms + TRIAL_MS);
         QuarantineUpdate {
             trials: vec![RunningTrial { fingerprint, left_ms: TRIAL_MS }],
             ..QuarantineUpdate::default()
         }
     }
 
-    fn keep_back(&mut self, fingerprint: Fingerprint, until_ms: u64) {
+    fn hold_back(&mut self, fingerprint: Fingerprint, until_ms: u64) {
         let known = self.trials.entry(fingerprint).or_insert(until_ms);
         *known = (*known).max(until_ms);
         if self.trials.len() > MAX_TRIALS
-            && let Some(first) = self.trials.iter().min_by_key(|(_, until_ms)| **until_ms).map(|(one, _)| *one)
+            && let Some(first) =
+                self.trials.iter().min_by_key(|(_, until_ms)| **until_ms).map(|(fingerprint, _)| *fingerprint)
         {
             self.trials.remove(&first);
         }
     }
 
-    /// A trial ended without a verdict, and without the request having run.
+    /// Cancels a trial in which the request did not run.
     pub fn cancel_trial(&mut self, fingerprint: Fingerprint) {
         self.trials.remove(&fingerprint);
     }
 
-    /// An endpoint crashed that had a request. Gives the requests that are judged by that.
+    /// Records a request that was at an endpoint when it crashed. Returns the requests that are quarantined as a
+    /// result.
     pub fn on_crash(
         &mut self,
         endpoint: &str,
@@ -149,52 +157,54 @@
         at_ms: u64,
         now_ms: u64,
     ) -> Vec<QuarantinedRequest> {
-        if !self.take_crash(endpoint, service, &[lost], at_ms) {
+        if !self.record_crash(endpoint, service, &[lost], at_ms) {
             return Vec::new();
         }
-        self.judge(now_ms)
+        self.evaluate(now_ms)
     }
 
-    /// Notes a crash. Says whether it is news.
-    fn take_crash(&mut self, endpoint: &str, service: &str, lost: &[LostRequest], at_ms: u64) -> bool {
-        let change = self.changes + 1;
-        let is_news = self.crashes.take(endpoint, service, lost, at_ms, change);
-        if is_news {
-            self.changes = change;
+    /// Records a crash. Returns whether it adds information.
+    fn record_crash(&mut self, endpoint: &str, service: &str, lost: &[LostRequest], at_ms: u64) -> bool {
+        let version = self.version + 1;
+        let is_new_information = self.crashes.record_requests(endpoint, service, lost, at_ms, version);
+        if is_new_information {
+            self.version = version;
         }
-        is_news
+        is_new_information
     }
 
-    /// A request ended well. Says whether it had been suspected.
+    /// Records that a request succeeded. Returns whether it was a suspect.
     pub fn on_success(&mut self, fingerprint: Fingerprint, now_ms: u64) -> bool {
-        if !self.verdicts.contains_key(&fingerprint) && !self.weights.contains_key(&fingerprint) {
+        if !self.periods.contains_key(&fingerprint) && !self.scores.contains_key(&fingerprint) {
             return false;
         }
         self.clear(fingerprint, now_ms);
-        self.judge(now_ms);
+        self.evaluate(now_ms);
         true
     }
 
     fn clear(&mut self, fingerprint: Fingerprint, at_ms: u64) -> bool {
-        if !self.is_news_that_cleared(fingerprint, at_ms) {
+        if !self.is_new_clearance(fingerprint, at_ms) {
             return false;
         }
-        self.changes += 1;
-        self.cleared.insert(fingerprint, Cleared { at_ms, change: self.changes });
-        if self.verdicts.get(&fingerprint).is_some_and(|verdict| verdict.made_ms <= at_ms) {
-            self.verdicts.remove(&fingerprint);
+        self.version += 1;
+        self.cleared.insert(fingerprint, Clearance { at_ms, version: self.version });
+        if self.periods.get(&fingerprint).is_some_and(|period| period.started_ms <= at_ms) {
+            self.periods.remove(&fingerprint);
         }
         self.trials.remove(&fingerprint);
         true
     }
 
-    /// Whether a clearance is the first one, or clears something that the last one did not. What is passed on grows
-    /// older by the time that it travels, so it would look later each time that it comes round.
-    fn is_news_that_cleared(&self, fingerprint: Fingerprint, at_ms: u64) -> bool {
+    /// Returns whether a clearance is the first one of the request, or clears a crash or a quarantine period that the
+    /// last clearance did not. The time of a clearance is computed from its age, which does not include transit times,
+    /// so a clearance that is passed on would look newer each time.
+    fn is_new_clearance(&self, fingerprint: Fingerprint, at_ms: u64) -> bool {
         let Some(known) = self.cleared.get(&fingerprint) else { return true };
-        let verdict = self.verdicts.get(&fingerprint);
-        let clears = |made_ms: u64| made_ms > known.at_ms && made_ms <= at_ms;
-        verdict.is_some_and(|verdict| clears(verdict.made_ms)) || self.crash_times(fingerprint).any(clears)
+        let period = self.periods.get(&fingerprint);
+        let is_cleared_now = |happened_ms: u64| happened_ms > known.at_ms && happened_ms <= at_ms;
+        period.is_some_and(|period| is_cleared_now(period.started_ms))
+            || self.crash_times(fingerprint).any(is_cleared_now)
     }
 
     fn crash_times(&self, fingerprint: Fingerprint) -> impl Iterator<Item = u64> {
@@ -202,77 +212,92 @@
         crashes.map(|crash| crash.at_ms)
     }
 
-    /// Weighs all that is known. Gives the requests that are judged anew.
-    fn judge(&mut self, now_ms: u64) -> Vec<QuarantinedRequest> {
-        let good_end_ms = |one: Fingerprint| self.cleared.get(&one).map(|cleared| cleared.at_ms);
-        self.weights = evidence::weigh(self.crashes.all(), good_end_ms);
-        let guilty = self.weights.iter().filter(|(_, weight)| **weight >= VERDICT_WEIGHT).map(|(one, _)| *one);
-        let mut judged = Vec::new();
-        for fingerprint in guilty.chain(self.failed_trials(now_ms)).collect::<Vec<_>>() {
-            let former = self.verdicts.get(&fingerprint);
-            if former.is_some_and(|verdict| verdict.left_ms(now_ms).is_some()) || self.was_judged(fingerprint) {
+    /// Evaluates all crashes. Returns the requests that are newly quarantined.
+    fn evaluate(&mut self, now_ms: u64) -> Vec<QuarantinedRequest> {
+        let last_success_ms = |fingerprint: Fingerprint| self.cleared.get(&fingerprint).map(|cleared| cleared.at_ms);
+        self.scores = crash_scores::score_requests(self.crashes.all(), last_success_ms);
+        let above_threshold =
+            self.scores.iter().filter(|(_, score)| **score >= QUARANTINE_SCORE).map(|(fingerprint, _)| *fingerprint);
+        let mut quarantined = Vec::new();
+        for fingerprint in above_threshold.chain(self.failed_trials(now_ms)).collect::<Vec<_>>() {
+            let former = self.periods.get(&fingerprint);
+            if former.is_some_and(|period| period.left_ms(now_ms).is_some())
+                || self.is_covered_by_last_period(fingerprint)
+            {
                 continue;
             }
-            self.changes += 1;
-            let verdict = Verdict::after(former, now_ms, self.changes);
-            self.verdicts.insert(fingerprint, verdict);
-            judged.push(self.judged(fingerprint, &verdict, now_ms));
+            self.version += 1;
+            let period = QuarantinePeriod::after(former, now_ms, self.version);
+            self.periods.insert(fingerprint, period);
+            quarantined.push(self.quarantined_request(fingerprint, &period, now_ms));
         }
-        self.bound_verdicts();
-        judged
+        self.limit_periods();
+        quarantined
     }
 
-    /// Whether the last crash of a request lies before its last verdict, so that it brings no new one.
-    fn was_judged(&self, fingerprint: Fingerprint) -> bool {
-        let Some(verdict) = self.verdicts.get(&fingerprint) else { return false };
-        self.last_crash_ms(fingerprint).is_none_or(|at_ms| at_ms <= verdict.made_ms)
+    /// Returns whether the last crash of a request happened before its last quarantine period began, so that it starts
+    /// no new period.
+    fn is_covered_by_last_period(&self, fingerprint: Fingerprint) -> bool {
+        let Some(period) = self.periods.get(&fingerprint) else { return false };
+        self.last_crash_ms(fingerprint).is_none_or(|at_ms| at_ms <= period.started_ms)
     }
 
     fn last_crash_ms(&self, fingerprint: Fingerprint) -> Option<u64> {
         self.crash_times(fingerprint).max()
     }
 
-    /// Requests whose verdict is over, and which have crashed an endpoint since.
+    /// Returns the requests that have crashed an endpoint after their quarantine period ended.
     fn failed_trials(&self, now_ms: u64) -> Vec<Fingerprint> {
-        let over = self.verdicts.iter().filter(|(_, verdict)| verdict.left_ms(now_ms).is_none());
-        let crashed = |one: Fingerprint, since_ms: u64| self.last_crash_ms(one).is_some_and(|at_ms| at_ms > since_ms);
-        over.filter(|(one, verdict)| crashed(**one, verdict.until_ms)).map(|(one, _)| *one).collect()
+        let ended = self.periods.iter().filter(|(_, period)| period.left_ms(now_ms).is_none());
+        let crashed = |fingerprint: Fingerprint, since_ms: u64| {
+            self.last_crash_ms(fingerprint).is_some_and(|at_ms| at_ms > since_ms)
+        };
+        ended
+            .filter(|(fingerprint, period)| crashed(**fingerprint, period.until_ms))
+            .map(|(fingerprint, _)| *fingerprint)
+            .collect()
     }
 
-    fn judged(&self, fingerprint: Fingerprint, verdict: &Verdict, now_ms: u64) -> QuarantinedRequest {
+    fn quarantined_request(
+        &self,
+        fingerprint: Fingerprint,
+        period: &QuarantinePeriod,
+        now_ms: u64,
+    ) -> QuarantinedRequest {
         let crashes = self.crashes.all().iter().filter(|crash| crash.present.contains_key(&fingerprint));
         QuarantinedRequest {
             fingerprint,
-            times: verdict.times,
-            for_ms: verdict.until_ms - now_ms,
+            times: period.times,
+            for_ms: period.until_ms - now_ms,
             crashes: crashes.map(|crash| (crash.endpoint.clone(), now_ms.saturating_sub(crash.at_ms))).collect(),
         }
     }
 
-    fn bound_verdicts(&mut self) {
-        while self.verdicts.len() > MAX_VERDICTS {
-            let first = self.verdicts.iter().min_by_key(|(_, verdict)| verdict.until_ms).map(|(one, _)| *one);
-            first.map(|one| self.verdicts.remove(&one));
+    fn limit_periods(&mut self) {
+        while self.periods.len() > MAX_PERIODS {
+            let first =
+                self.periods.iter().min_by_key(|(_, period)| period.until_ms).map(|(fingerprint, _)| *fingerprint);
+            first.map(|fingerprint| self.periods.remove(&fingerprint));
         }
     }
 
-    /// Forgets what is too old to say anything. Called now and then.
+    /// Removes state that no longer matters. Called periodically.
     pub fn remove_expired(&mut self, now_ms: u64) {
         self.trials.retain(|_, until_ms| *until_ms > now_ms);
-        self.verdicts.retain(|_, verdict| !verdict.is_forgotten(now_ms));
+        self.periods.retain(|_, period| !period.is_expired(now_ms));
         if self.crashes.remove_expired(now_ms) {
-            self.judge(now_ms);
+            self.evaluate(now_ms);
         }
-        let (crashes, verdicts) = (&self.crashes, &self.verdicts);
-        self.cleared.retain(|one, _| crashes.count(*one) > 0 || verdicts.contains_key(one));
+        let (crashes, periods) = (&self.crashes, &self.periods);
+        self.cleared.retain(|fingerprint, _| crashes.count(*fingerprint) > 0 || periods.contains_key(fingerprint));
     }
 }
 
-const fn verdict_news(fingerprint: Fingerprint, verdict: &Verdict, now_ms: u64) -> QuarantineEntry {
+const fn quarantine_entry(fingerprint: Fingerprint, period: &QuarantinePeriod, now_ms: u64) -> QuarantineEntry {
     QuarantineEntry {
         fingerprint,
-        age_ms: now_ms.saturating_sub(verdict.made_ms),
-        left_ms: verdict.until_ms.saturating_sub(now_ms),
-        times: verdict.times,
+        age_ms: now_ms.saturating_sub(period.started_ms),
+        left_ms: period.until_ms.saturating_sub(now_ms),
+        times: period.times,
     }
 }
--- a/crates/ochreyard-core/src/direct/quarantine/decision.rs
+++ b/crates/ochreyard-core/src/direct/quarantine/decision.rs
@@ -1,20 +1,20 @@
-//! What may be done with a request that may be a suspect.
+//! The decision about a request that may be suspected of crashing endpoints.
 
 /// What may be done with a request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineDecision {
-    /// Nothing stands against it.
+    /// The request is not suspected and may be sent.
     Allow,
-    /// It may be tried, once, at one endpoint.
+    /// The request is a suspect. It may be sent once, to one endpoint, as a trial.
     AllowAsTrial,
-    /// A copy of it is being tried.
+    /// A copy of the request is under trial.
     WaitForTrial {
-        /// How much longer, in milliseconds.
+        /// Remaining time of the trial, in milliseconds.
         left_ms: u64,
     },
-    /// It is refused.
+    /// The request is quarantined.
     Refuse {
-        /// How much longer, in milliseconds.
+        /// Remaining time of the quarantine, in milliseconds.
         left_ms: u64,
     },
 }
--- a/crates/ochreyard-core/src/direct/quarantine/quarantine_period.rs
+++ b/crates/ochreyard-core/src/direct/quarantine/quarantine_period.rs
@@ -1,43 +1,43 @@
-//! For how long a request is refused.
+//! How long a request is refused.
 
-/// How long a request is refused the first time, in milliseconds: ten minutes. Whoever mends the service or the
-/// request needs longer than that; each trial after it costs one endpoint at the most.
-const FIRST_LIFE_MS: u64 = 10 * 60 * 1_000;
-/// The longest time, in milliseconds: a day.
-pub const MAX_LIFE_MS: u64 = 24 * 60 * 60 * 1_000;
-/// How long a verdict that is over is remembered, in milliseconds: a request that crashes an endpoint on its trial
-/// is refused again at once, and for twice as long.
-const REMEMBERED_MS: u64 = MAX_LIFE_MS;
+/// The duration of the first quarantine of a request, in milliseconds: ten minutes. Fixing the service or the request
+/// takes longer than that, but each trial after a quarantine costs at most one endpoint.
+const FIRST_PERIOD_MS: u64 = 10 * 60 * 1_000;
+/// The longest duration of a quarantine, in milliseconds: one day.
+pub const MAX_PERIOD_MS: u64 = 24 * 60 * 60 * 1_000;
+/// How long a quarantine is remembered after its end, in milliseconds. A request that crashes an endpoint in its trial
+/// is refused again at once, for twice as long.
+const RETENTION_MS: u64 = MAX_PERIOD_MS;
 
-/// A verdict on one request.
+/// One period for which a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Verdict {
-    /// When it was made.
-    pub made_ms: u64,
-    /// Until when the request is refused.
+pub struct QuarantinePeriod {
+    /// Start of the period.
+    pub started_ms: u64,
+    /// End of the period.
     pub until_ms: u64,
-    /// How often the request has been judged.
+    /// How many times the request has been quarantined.
     pub times: u32,
-    /// The number of the change that brought it.
-    pub change: u64,
+    /// The version of the quarantine in which the period was added.
+    pub version: u64,
 }
 
-impl Verdict {
-    /// The verdict after `former`: each time it lasts twice as long.
-    pub fn after(former: Option<&Self>, now_ms: u64, change: u64) -> Self {
+impl QuarantinePeriod {
+    /// Creates the period that follows `former`. Each period is twice as long as the one before.
+    pub fn after(former: Option<&Self>, now_ms: u64, version: u64) -> Self {
         let times = former.map_or(0, |former| former.times).saturating_add(1);
-        let life_ms = FIRST_LIFE_MS.saturating_mul(1 << (times - 1).min(16)).min(MAX_LIFE_MS);
-        Self { made_ms: now_ms, until_ms: now_ms + life_ms, times, change }
+        let duration_ms = FIRST_PERIOD_MS.saturating_mul(1 << (times - 1).min(16)).min(MAX_PERIOD_MS);
+        Self { started_ms: now_ms, until_ms: now_ms + duration_ms, times, version }
     }
 
-    /// How much longer the request is refused; `None` where it may be tried again.
+    /// Returns the remaining time of the period in milliseconds, or `None` if it has ended.
     pub const fn left_ms(&self, now_ms: u64) -> Option<u64> {
         let left_ms = self.until_ms.saturating_sub(now_ms);
         if left_ms == 0 { None } else { Some(left_ms) }
     }
 
-    /// Whether it no longer says anything.
-    pub const fn is_forgotten(&self, now_ms: u64) -> bool {
-        now_ms >= self.until_ms + REMEMBERED_MS
+    /// Returns whether the period ended so long ago that it is no longer remembered.
+    pub const fn is_expired(&self, now_ms: u64) -> bool {
+        now_ms >= self.until_ms + RETENTION_MS
     }
 }
--- a/crates/ochreyard-core/src/direct/quarantine/quarantined_request.rs
+++ b/crates/ochreyard-core/src/direct/quarantine/quarantined_request.rs
@@ -1,18 +1,18 @@
-//! A request that is refused, as logs and operators see it.
+//! A quarantined request, as shown in logs and to operators.
 
 use serde::{Deserialize, Serialize};
 
 use crate::direct::Fingerprint;
 
-/// A request that was found to crash endpoints.
+/// A request that is refused because it crashed endpoints.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How often it has been judged.
+    /// How many times the request has been quarantined.
     pub times: u32,
-    /// For how long it is refused, in milliseconds.
+    /// Remaining time of the quarantine, in milliseconds.
     pub for_ms: u64,
-    /// The endpoints that crashed with it, and how long ago, in milliseconds.
+    /// The endpoints that crashed while they had the request, each with the time since the crash in milliseconds.
     pub crashes: Vec<(String, u64)>,
 }
--- a/crates/ochreyard-core/src/direct/quarantine/replication.rs
+++ b/crates/ochreyard-core/src/direct/quarantine/replication.rs
@@ -1,72 +1,77 @@
-//! What an entry tells others of what it knows, and what it takes over from them.
+//! Replication of the quarantine between entries.
 
-use super::quarantine_period::{MAX_LIFE_MS, Verdict};
+use super::quarantine_period::{MAX_PERIOD_MS, QuarantinePeriod};
 use super::update::{ClearedRequest, CrashReport, LostRequest, QuarantineEntry, QuarantineUpdate};
-use super::{Quarantine, QuarantinedRequest, TRIAL_MS, verdict_news};
+use super::{Quarantine, QuarantinedRequest, TRIAL_MS, quarantine_entry};
 
 impl Quarantine {
-    /// How many changes there have been: what another entry names to be told only what came since.
+    /// Returns the version of the quarantine, which grows with each change. Another entry sends it back to receive only
+    /// later changes.
     #[must_use]
     pub const fn version(&self) -> u64 {
-        self.changes
+        self.version
     }
 
-    /// What changed after the first `known` changes.
+    /// Returns what changed after `version`.
     #[must_use]
-    pub fn update_since(&self, known: u64, now_ms: u64) -> QuarantineUpdate {
+    pub fn update_since(&self, version: u64, now_ms: u64) -> QuarantineUpdate {
         let age_ms = |at_ms: u64| now_ms.saturating_sub(at_ms);
-        let crashes = self.crashes.all().iter().filter(|crash| crash.change > known).map(|crash| CrashReport {
+        let crashes = self.crashes.all().iter().filter(|crash| crash.version > version).map(|crash| CrashReport {
             endpoint: crash.endpoint.clone(),
             service: crash.service.clone(),
             age_ms: age_ms(crash.at_ms),
             lost: crash
                 .present
                 .iter()
-                .map(|(one, ran_ms)| LostRequest { fingerprint: *one, ran_ms: *ran_ms })
+                .map(|(fingerprint, ran_ms)| LostRequest { fingerprint: *fingerprint, ran_ms: *ran_ms })
                 .collect(),
         });
-        let cleared = self.cleared.iter().filter(|(_, cleared)| cleared.change > known);
-        let verdicts = self.verdicts.iter().filter(|(_, verdict)| verdict.change > known);
+        let cleared = self.cleared.iter().filter(|(_, cleared)| cleared.version > version);
+        let periods = self.periods.iter().filter(|(_, period)| period.version > version);
         QuarantineUpdate {
             crashes: crashes.collect(),
             cleared: cleared
-                .map(|(one, cleared)| ClearedRequest { fingerprint: *one, age_ms: age_ms(cleared.at_ms) })
+                .map(|(fingerprint, cleared)| ClearedRequest {
+                    fingerprint: *fingerprint,
+                    age_ms: age_ms(cleared.at_ms),
+                })
                 .collect(),
-            entries: verdicts.map(|(one, verdict)| verdict_news(*one, verdict, now_ms)).collect(),
+            entries: periods.map(|(fingerprint, period)| quarantine_entry(*fingerprint, period, now_ms)).collect(),
             trials: Vec::new(),
         }
     }
 
-    /// Takes what another entry tells. Gives the requests that are judged by that.
-    pub fn apply_update(&mut self, news: &QuarantineUpdate, now_ms: u64) -> Vec<QuarantinedRequest> {
-        for crash in &news.crashes {
+    /// Applies the update of another entry. Returns the requests that are quarantined as a result.
+    pub fn apply_update(&mut self, update: &QuarantineUpdate, now_ms: u64) -> Vec<QuarantinedRequest> {
+        for crash in &update.crashes {
             let at_ms = now_ms.saturating_sub(crash.age_ms);
-            self.take_crash(&crash.endpoint, &crash.service, &crash.lost, at_ms);
+            self.record_crash(&crash.endpoint, &crash.service, &crash.lost, at_ms);
         }
-        for verdict in &news.entries {
-            self.take_verdict(verdict, now_ms);
+        for entry in &update.entries {
+            self.apply_entry(entry, now_ms);
         }
-        for cleared in &news.cleared {
+        for cleared in &update.cleared {
             self.clear(cleared.fingerprint, now_ms.saturating_sub(cleared.age_ms));
         }
-        for trial in &news.trials {
-            self.keep_back(trial.fingerprint, now_ms + trial.left_ms.min(TRIAL_MS));
+        for trial in &update.trials {
+            self.hold_back(trial.fingerprint, now_ms + trial.left_ms.min(TRIAL_MS));
         }
-        self.judge(now_ms)
+        self.evaluate(now_ms)
     }
 
-    /// Takes another entry's verdict, unless one as late, or a clearance since, is known. Two entries that judge
-    /// by themselves differ by milliseconds, which is no news.
-    fn take_verdict(&mut self, told: &QuarantineEntry, now_ms: u64) {
-        let until_ms = now_ms + told.left_ms.min(MAX_LIFE_MS);
-        let made_ms = now_ms.saturating_sub(told.age_ms);
-        let is_cleared = self.cleared.get(&told.fingerprint).is_some_and(|cleared| cleared.at_ms >= made_ms);
-        let knows_later = self.verdicts.get(&told.fingerprint).is_some_and(|known| known.times >= told.times);
-        if is_cleared || knows_later || told.times == 0 {
+    /// Applies another entry's quarantine entry, unless the request was cleared later or has been quarantined as many
+    /// times here. If two entries quarantine a request independently, their times differ by milliseconds only, which is
+    /// not worth an update.
+    fn apply_entry(&mut self, reported: &QuarantineEntry, now_ms: u64) {
+        let until_ms = now_ms + reported.left_ms.min(MAX_PERIOD_MS);
+        let started_ms = now_ms.saturating_sub(reported.age_ms);
+        let is_cleared = self.cleared.get(&reported.fingerprint).is_some_and(|cleared| cleared.at_ms >= started_ms);
+        let is_known = self.periods.get(&reported.fingerprint).is_some_and(|known| known.times >= reported.times);
+        if is_cleared || is_known || reported.times == 0 {
             return;
         }
-        self.changes += 1;
-        let verdict = Verdict { made_ms, until_ms, times: told.times, change: self.changes };
-        self.verdicts.insert(told.fingerprint, verdict);
+        self.version += 1;
+        let period = QuarantinePeriod { started_ms, until_ms, times: reported.times, version: self.version };
+        self.periods.insert(reported.fingerprint, period);
     }
 }
--- a/crates/ochreyard-core/src/direct/quarantine/update.rs
+++ b/crates/ochreyard-core/src/direct/quarantine/update.rs
@@ -1,66 +1,66 @@
-//! What entries tell each other of requests that crash endpoints.
+//! Messages that entries exchange about requests that crash endpoints.
 //!
-//! Times are ages: the clocks of two boxes may differ.
+//! Times are sent as ages, since the clocks of two boxes may differ.
 
 use serde::{Deserialize, Serialize};
 
 use crate::direct::Fingerprint;
 
-/// A request that an endpoint had when it crashed.
+/// A request that was at an endpoint when it crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long it had run, in milliseconds; `None` where it had not begun, as far as known.
+    /// How long the request had been running, in milliseconds; `None` if it is not known to have started.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ran_ms: Option<u64>,
 }
 
-/// A crash, as an entry saw it or was told.
+/// A crash that an entry detected or was told about.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The endpoint.
+    /// Identifier of the endpoint.
     pub endpoint: String,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: String,
-    /// How long ago its connections broke, in milliseconds.
+    /// Time since the connections to the endpoint broke, in milliseconds.
     pub age_ms: u64,
-    /// Requests that it had.
+    /// Requests that were at the endpoint.
     pub lost: Vec<LostRequest>,
 }
 
-/// A request that ended well after crashes, or was released by an operator.
+/// A request that succeeded after crashes, or was released by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClearedRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long ago, in milliseconds.
+    /// Time since the request was cleared, in milliseconds.
     pub age_ms: u64,
 }
 
 /// A request that is quarantined.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineEntry {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long ago it was judged, in milliseconds.
+    /// Time since the quarantine began, in milliseconds.
     pub age_ms: u64,
-    /// How much longer it is refused, in milliseconds.
+    /// Remaining time of the quarantine, in milliseconds.
     pub left_ms: u64,
-    /// How often it has been judged.
+    /// How many times the request has been quarantined.
     pub times: u32,
 }
 
-/// A suspect that is being tried by one entry.
+/// A suspect that one entry is running as a trial.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningTrial {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// How long others keep copies of it back, in milliseconds.
+    /// How long other entries hold back copies of the request, in milliseconds.
     pub left_ms: u64,
 }
 
-/// News of any of these. What is empty is left out on the wire.
+/// Changes of the quarantine. Empty lists are omitted on the wire.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineUpdate {
     /// Crashes.
@@ -72,13 +72,13 @@
     /// Requests that are quarantined.
     #[serde(rename = "verdicts", default, skip_serializing_if = "Vec::is_empty")]
     pub entries: Vec<QuarantineEntry>,
-    /// Suspects that are being tried.
+    /// Suspects that are under trial.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trials: Vec<RunningTrial>,
 }
 
 impl QuarantineUpdate {
-    /// Whether it tells nothing.
+    /// Returns whether the update contains no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty() && self.entries.is_empty() && self.trials.is_empty()
