--- a/crates/ochreyard-core/tests/endpoint_notices.rs
+++ b/crates/ochreyard-core/tests/endpoint_notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints ask for in their answers, and how requests are held to it.
+//! What endpoints ask for in their responses, and whether requests comply with it.
 
 mod direct_fixture;
 
@@ -10,20 +10,20 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Slots of an endpoint that a slow start takes some steps to fill.
+/// Enough slots that slow start needs several steps to fill them.
 const SLOTS: u64 = 8;
 
 fn record(port: u16) -> EndpointRecord {
     EndpointRecord { slots: SLOTS, ..endpoint(port) }
 }
 
-fn know(pool: &mut EndpointPool, id: &str, record: EndpointRecord) {
+fn add_record(pool: &mut EndpointPool, id: &str, record: EndpointRecord) {
     pool.apply(EndpointChange::Updated(id.into(), record));
 }
 
 fn pool_of(ids: &[&str]) -> EndpointPool {
     let mut pool = EndpointPool::new();
-    ids.iter().for_each(|id| know(&mut pool, id, record(1)));
+    ids.iter().for_each(|id| add_record(&mut pool, id, record(1)));
     pool
 }
 
@@ -31,14 +31,14 @@
     pool.pick("tiles", &[], Urgency::OnTime, 0, now_ms)
 }
 
-const fn pause(backoff_ms: u64) -> EndpointSignals {
+const fn backoff(backoff_ms: u64) -> EndpointSignals {
     EndpointSignals { backoff_ms: Some(backoff_ms), is_leaving: false, load: None, limit: ReportedLimit::Unknown }
 }
 
-const LEAVES: EndpointSignals =
+const LEAVING: EndpointSignals =
     EndpointSignals { backoff_ms: None, is_leaving: true, load: None, limit: ReportedLimit::Unknown };
 
-/// How many requests one after the other get an endpoint before any of them is answered.
+/// Picks endpoints for as many requests as possible before any of them is answered.
 fn admitted(pool: &mut EndpointPool, now_ms: u64) -> Vec<Pick> {
     std::iter::from_fn(|| {
         let pick = pick(pool, now_ms).ok()?;
@@ -50,28 +50,28 @@
 }
 
 #[test]
-fn an_endpoint_that_asked_for_a_pause_gets_nothing_even_where_no_other_is_left() {
+fn an_endpoint_in_backoff_gets_no_requests_even_if_no_other_is_left() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &pause(3_000), 0);
+    pool.on_signals(&picked, &backoff(3_000), 0);
     assert_eq!(pick(&pool, 2_999), Err(PickError::Paused { until_ms: 3_000 }));
     assert!(pick(&pool, 3_000).is_ok());
 }
 
 #[test]
-fn a_request_that_was_picked_before_the_word_came_is_not_sent_after_it() {
+fn a_request_picked_before_a_notice_is_not_sent_after_it() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
     assert!(pool.accepts_requests(&picked, 0));
-    pool.on_signals(&picked, &pause(3_000), 1);
+    pool.on_signals(&picked, &backoff(3_000), 1);
     assert!(!pool.accepts_requests(&picked, 2));
     assert!(pool.accepts_requests(&picked, 3_001));
-    pool.on_signals(&picked, &LEAVES, 3_002);
+    pool.on_signals(&picked, &LEAVING, 3_002);
     assert!(!pool.accepts_requests(&picked, 3_003));
 }
 
 #[test]
-fn a_request_that_was_picked_is_not_sent_once_the_record_has_gone() {
+fn a_picked_request_is_not_sent_once_the_record_is_gone() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
     pool.apply(EndpointChange::Removed("a".into()));
@@ -79,75 +79,75 @@
 }
 
 #[test]
-fn a_shorter_pause_takes_nothing_back_and_a_longer_one_counts() {
+fn a_longer_backoff_replaces_a_shorter_one_but_not_the_reverse() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &pause(3_000), 0);
-    pool.on_signals(&picked, &pause(100), 10);
+    pool.on_signals(&picked, &backoff(3_000), 0);
+    pool.on_signals(&picked, &backoff(100), 10);
     assert_eq!(pick(&pool, 500), Err(PickError::Paused { until_ms: 3_000 }));
-    pool.on_signals(&picked, &pause(5_000), 20);
+    pool.on_signals(&picked, &backoff(5_000), 20);
     assert_eq!(pick(&pool, 500), Err(PickError::Paused { until_ms: 5_020 }));
 }
 
 #[rstest]
-#[case::paused(pause(60_000))]
-#[case::leaving(LEAVES)]
-fn a_record_that_lapses_and_comes_back_takes_no_word_back(#[case] word: EndpointSignals) {
+#[case::in_backoff(backoff(60_000))]
+#[case::leaving(LEAVING)]
+fn a_notice_survives_the_expiry_and_return_of_the_record(#[case] signals: EndpointSignals) {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &word, 0);
+    pool.on_signals(&picked, &signals, 0);
     pool.apply(EndpointChange::Removed("a".into()));
-    know(&mut pool, "a", record(1));
-    assert!(pick(&pool, 1).is_err(), "the same life");
-    know(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
-    assert!(pick(&pool, 2).is_ok(), "the next life has asked for nothing");
+    add_record(&mut pool, "a", record(1));
+    assert!(pick(&pool, 1).is_err(), "the same incarnation");
+    add_record(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
+    assert!(pick(&pool, 2).is_ok(), "the next incarnation has not asked for anything");
 }
 
 #[test]
-fn a_word_that_comes_while_the_record_is_away_counts_once_it_is_back() {
+fn a_notice_received_without_a_record_counts_once_the_record_is_back() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
     pool.apply(EndpointChange::Removed("a".into()));
-    pool.on_signals(&picked, &LEAVES, 1);
-    know(&mut pool, "a", record(1));
+    pool.on_signals(&picked, &LEAVING, 1);
+    add_record(&mut pool, "a", record(1));
     assert_eq!(pick(&pool, 2), Err(PickError::Nobody));
 }
 
 #[test]
-fn a_word_of_a_life_before_says_nothing_of_the_next() {
+fn a_notice_of_an_earlier_incarnation_does_not_count_for_the_next() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    know(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
-    pool.on_signals(&picked, &LEAVES, 1);
-    pool.on_signals(&picked, &pause(60_000), 1);
+    add_record(&mut pool, "a", EndpointRecord { started_ms: 7, ..record(1) });
+    pool.on_signals(&picked, &LEAVING, 1);
+    pool.on_signals(&picked, &backoff(60_000), 1);
     assert!(pick(&pool, 2).is_ok());
 }
 
 #[test]
-fn after_a_pause_one_request_goes_first_and_twice_as_many_after_each_that_was_taken() {
+fn after_a_backoff_the_request_limit_starts_at_one_and_doubles_with_each_accepted_request() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &pause(1_000), 0);
+    pool.on_signals(&picked, &backoff(1_000), 0);
     for allowed in [1, 2, 4] {
         let sent = admitted(&mut pool, 1_000);
         assert_eq!(sent.len(), allowed);
         sent.iter().for_each(|pick| pool.on_answered(pick));
         pool.on_accepted(&sent[0], 1_100);
     }
-    assert!(admitted(&mut pool, 1_200).len() > 8, "as many as any other");
+    assert!(admitted(&mut pool, 1_200).len() > 8, "slow start has ended");
 }
 
 #[test]
-fn what_was_taken_before_a_pause_opens_nothing_after_it() {
+fn requests_accepted_during_a_backoff_do_not_speed_up_slow_start() {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &pause(1_000), 0);
+    pool.on_signals(&picked, &backoff(1_000), 0);
     (0..9).for_each(|_| pool.on_accepted(&picked, 500));
     assert_eq!(admitted(&mut pool, 1_000).len(), 1);
 }
 
-/// A request with 8 s to go, whose aim is 400 ms.
-const fn seeker(deadline_ms: u64) -> PendingRequest<'static> {
+/// A pending request with a latency target of 400 ms.
+const fn pending_request(deadline_ms: u64) -> PendingRequest<'static> {
     let arrival = ochreyard_core::direct::Arrival { on_time_until_ms: 200, is_caller_retry: false };
     PendingRequest {
         service: "tiles",
@@ -163,78 +163,79 @@
 }
 
 #[rstest]
-#[case::short_pause(800, 8_000, true)]
-#[case::longer_than_callers_may_stay(3_000, 8_000, false)]
-#[case::longer_than_its_time(800, 1_000, false)]
-fn where_all_endpoints_pause_a_request_waits_only_if_it_can_be_served_at_the_first_end(
-    #[case] pause_ms: u64,
+#[case::short_backoff(800, 8_000, true)]
+#[case::longer_than_callers_wait(3_000, 8_000, false)]
+#[case::longer_than_its_deadline(800, 1_000, false)]
+fn if_all_endpoints_are_in_backoff_a_request_waits_only_if_it_can_be_served_when_the_first_ends(
+    #[case] backoff_ms: u64,
     #[case] deadline_ms: u64,
-    #[case] waits: bool,
+    #[case] should_wait: bool,
 ) {
     let mut pool = pool_of(&["a"]);
     let picked = pick(&pool, 0).unwrap();
-    pool.on_signals(&picked, &pause(pause_ms), 0);
-    let choice = ServiceQueue::default().decide(&pool, 1, &seeker(deadline_ms), 0, 0);
-    assert_eq!(matches!(choice, DispatchDecision::Wait(_)), waits, "{choice:?}");
+    pool.on_signals(&picked, &backoff(backoff_ms), 0);
+    let choice = ServiceQueue::default().decide(&pool, 1, &pending_request(deadline_ms), 0, 0);
+    assert_eq!(matches!(choice, DispatchDecision::Wait(_)), should_wait, "{choice:?}");
 }
 
 #[derive(Debug, Clone)]
 enum Event {
-    Asks { endpoint: usize, pause_ms: u64 },
-    Leaves { endpoint: usize },
-    Lapses { endpoint: usize },
-    ComesBack { endpoint: usize },
-    Sends,
-    Passes { ms: u64 },
+    AsksForBackoff { endpoint: usize, backoff_ms: u64 },
+    AnnouncesLeaving { endpoint: usize },
+    RecordExpires { endpoint: usize },
+    RecordReturns { endpoint: usize },
+    SendsRequest,
+    TimePasses { ms: u64 },
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let endpoint = || 0..ENDPOINTS;
     prop_oneof![
-        2 => (endpoint(), 0..4_000_u64).prop_map(|(endpoint, pause_ms)| Event::Asks { endpoint, pause_ms }),
-        1 => endpoint().prop_map(|endpoint| Event::Leaves { endpoint }),
-        2 => endpoint().prop_map(|endpoint| Event::Lapses { endpoint }),
-        2 => endpoint().prop_map(|endpoint| Event::ComesBack { endpoint }),
-        6 => Just(Event::Sends),
-        4 => (0..1_500_u64).prop_map(|ms| Event::Passes { ms }),
+        2 => (endpoint(), 0..4_000_u64).prop_map(|(endpoint, backoff_ms)| Event::AsksForBackoff { endpoint, backoff_ms }),
+        1 => endpoint().prop_map(|endpoint| Event::AnnouncesLeaving { endpoint }),
+        2 => endpoint().prop_map(|endpoint| Event::RecordExpires { endpoint }),
+        2 => endpoint().prop_map(|endpoint| Event::RecordReturns { endpoint }),
+        6 => Just(Event::SendsRequest),
+        4 => (0..1_500_u64).prop_map(|ms| Event::TimePasses { ms }),
     ]
 }
 
 const ENDPOINTS: usize = 4;
 
 proptest! {
-    /// Whatever comes between: no request is picked for, or written to, an endpoint that asked for a pause or leaves.
+    /// No request is picked for, or written to, an endpoint that asked for a backoff or is leaving, whatever happens in
+    /// between.
     #[test]
-    fn nothing_is_sent_against_the_word_of_an_endpoint(events in proptest::collection::vec(event(), 1..60)) {
-        let ids: Vec<String> = (0..ENDPOINTS).map(|number| format!("e{number}")).collect();
+    fn no_request_is_sent_against_the_notice_of_an_endpoint(events in proptest::collection::vec(event(), 1..60)) {
+        let ids: Vec<String> = (0..ENDPOINTS).map(|at| format!("e{at}")).collect();
         let mut pool = pool_of(&ids.iter().map(String::as_str).collect::<Vec<_>>());
-        let lives: Vec<Pick> = ids
+        let picks: Vec<Pick> = ids
             .iter()
             .map(|id| Pick { id: id.clone(), started_ms: 0, addr: endpoint(1).addr, in_flight: 0, urgency: Urgency::OnTime })
             .collect();
-        let mut paused_until_ms = [0; ENDPOINTS];
-        let mut leaves = [false; ENDPOINTS];
+        let mut backoff_until_ms = [0; ENDPOINTS];
+        let mut is_leaving = [false; ENDPOINTS];
         let mut now_ms = 0;
         for event in events {
             match event {
-                Event::Asks { endpoint, pause_ms } => {
-                    pool.on_signals(&lives[endpoint], &pause(pause_ms), now_ms);
-                    paused_until_ms[endpoint] = paused_until_ms[endpoint].max(now_ms + pause_ms);
+                Event::AsksForBackoff { endpoint, backoff_ms } => {
+                    pool.on_signals(&picks[endpoint], &backoff(backoff_ms), now_ms);
+                    backoff_until_ms[endpoint] = backoff_until_ms[endpoint].max(now_ms + backoff_ms);
                 }
-                Event::Leaves { endpoint } => {
-                    pool.on_signals(&lives[endpoint], &LEAVES, now_ms);
-                    leaves[endpoint] = true;
+                Event::AnnouncesLeaving { endpoint } => {
+                    pool.on_signals(&picks[endpoint], &LEAVING, now_ms);
+                    is_leaving[endpoint] = true;
                 }
-                Event::Lapses { endpoint } => pool.apply(EndpointChange::Removed(ids[endpoint].clone())),
-                Event::ComesBack { endpoint } => know(&mut pool, &ids[endpoint], record(1)),
-                Event::Passes { ms } => now_ms += ms,
-                Event::Sends => {
+                Event::RecordExpires { endpoint } => pool.apply(EndpointChange::Removed(ids[endpoint].clone())),
+                Event::RecordReturns { endpoint } => add_record(&mut pool, &ids[endpoint], record(1)),
+                Event::TimePasses { ms } => now_ms += ms,
+                Event::SendsRequest => {
                     let picked = pick(&pool, now_ms).ok();
-                    let welcome = lives.iter().filter(|life| pool.accepts_requests(life, now_ms)).cloned();
-                    for sent in picked.into_iter().chain(welcome) {
-                        let number = ids.iter().position(|id| *id == sent.id).unwrap();
-                        prop_assert!(!leaves[number], "{} leaves", sent.id);
-                        prop_assert!(paused_until_ms[number] <= now_ms, "{} asked for a pause", sent.id);
+                    let accepting = picks.iter().filter(|pick| pool.accepts_requests(pick, now_ms)).cloned();
+                    for sent in picked.into_iter().chain(accepting) {
+                        let at = ids.iter().position(|id| *id == sent.id).unwrap();
+                        prop_assert!(!is_leaving[at], "{} is leaving", sent.id);
+                        prop_assert!(backoff_until_ms[at] <= now_ms, "{} asked for a backoff", sent.id);
                     }
                 }
             }
--- a/crates/ochreyard-core/tests/quarantine_model/judge.rs
+++ b/crates/ochreyard-core/tests/quarantine_model/rule.rs
@@ -1,11 +1,11 @@
-//! Ways of judging requests by the crashes that they were at.
+//! Rules that decide about requests by the crashes at which they were present.
 
 use std::collections::{HashMap, HashSet};
 
 use ochreyard_core::direct::{Fingerprint, LostRequest, Quarantine, QuarantineDecision};
 
-/// A way of judging.
-pub trait Judge {
+/// A rule that decides about requests.
+pub trait Rule {
     fn decision(&self, request: Fingerprint, now_ms: u64) -> QuarantineDecision;
     fn begin_trial(&mut self, request: Fingerprint, now_ms: u64);
     fn cancel_trial(&mut self, request: Fingerprint);
@@ -13,7 +13,7 @@
     fn on_success(&mut self, request: Fingerprint, now_ms: u64);
 }
 
-impl Judge for Quarantine {
+impl Rule for Quarantine {
     fn decision(&self, request: Fingerprint, now_ms: u64) -> QuarantineDecision {
         Self::decision(self, request, now_ms)
     }
@@ -35,22 +35,26 @@
     }
 }
 
-/// Refuses whatever was at so many crashes, for good.
-pub struct PlainCount {
-    most: usize,
+/// Refuses requests that were present at a given number of crashes, without end.
+pub struct CrashCounter {
+    threshold: usize,
     crashes: HashMap<Fingerprint, HashSet<(usize, u64)>>,
 }
 
-impl PlainCount {
-    pub fn new(most: usize) -> Self {
-        Self { most, crashes: HashMap::new() }
+impl CrashCounter {
+    pub fn new(threshold: usize) -> Self {
+        Self { threshold, crashes: HashMap::new() }
     }
 }
 
-impl Judge for PlainCount {
+impl Rule for CrashCounter {
     fn decision(&self, request: Fingerprint, _now_ms: u64) -> QuarantineDecision {
         let count = self.crashes.get(&request).map_or(0, HashSet::len);
-        if count >= self.most { QuarantineDecision::Refuse { left_ms: u64::MAX } } else { QuarantineDecision::Allow }
+        if count >= self.threshold {
+            QuarantineDecision::Refuse { left_ms: u64::MAX }
+        } else {
+            QuarantineDecision::Allow
+        }
     }
 
     fn begin_trial(&mut self, _request: Fingerprint, _now_ms: u64) {}
--- a/crates/ochreyard-core/tests/shared_limit.rs
+++ b/crates/ochreyard-core/tests/shared_limit.rs
@@ -1,4 +1,4 @@
-//! Limits that hold for all boxes together: how they are dealt, what words change them, what counts.
+//! Rate limits for all boxes together: how they are divided, which reports change them, and which requests count.
 
 use std::net::SocketAddr;
 
@@ -9,89 +9,89 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const ALONE: ShareRank = ShareRank { rank: 0, boxes: 1 };
+const ONLY_BOX: ShareRank = ShareRank { rank: 0, boxes: 1 };
 
 const fn milli(milli_per_s: u64) -> Option<RequestRate> {
     Some(RequestRate::from_milli(milli_per_s))
 }
 
-fn sharers(own: usize, boxes: usize) -> SharingBoxes {
+fn sharing_boxes(own: usize, boxes: usize) -> SharingBoxes {
     let names: Vec<String> = (0..boxes).filter(|other| *other != own).map(|at| format!("box-{at}")).collect();
     SharingBoxes::new(&format!("box-{own}"), names.iter().map(String::as_str), true)
 }
 
 proptest! {
     #[test]
-    fn what_is_dealt_to_all_boxes_is_what_there_is(rate in 0u64..2_000_000, boxes in 1u64..400) {
+    fn the_shares_of_all_boxes_add_up_to_the_quota(rate in 0u64..2_000_000, boxes in 1u64..400) {
         let quota = Quota::from_rate(RequestRate::from_milli(rate));
         let dealt: u64 = (0..boxes).map(|rank| quota.share(ShareRank { rank, boxes })).sum();
         prop_assert_eq!(dealt, quota.count);
-        prop_assert!(quota.count as f64 <= rate as f64 * 4.0 / 1_000.0 + 1.0, "within 4 s one more than the rate allows");
+        prop_assert!(quota.count as f64 <= rate as f64 * 4.0 / 1_000.0 + 1.0, "at most one request above the rate within 4 s");
     }
 
     #[test]
-    fn all_boxes_find_the_same_order(boxes in 1usize..40, key in "[a-z0-9-]{1,12}") {
-        let mut ranks: Vec<u64> = (0..boxes).map(|own| sharers(own, boxes).share_rank(&key).rank).collect();
+    fn all_boxes_compute_the_same_order(boxes in 1usize..40, key in "[a-z0-9-]{1,12}") {
+        let mut ranks: Vec<u64> = (0..boxes).map(|own| sharing_boxes(own, boxes).share_rank(&key).rank).collect();
         ranks.sort_unstable();
         prop_assert_eq!(ranks, (0..boxes as u64).collect::<Vec<_>>());
     }
 }
 
 #[test]
-fn a_box_that_has_not_seen_the_whole_list_of_boxes_takes_less_than_any_other() {
+fn a_box_with_an_incomplete_list_of_boxes_takes_a_smaller_share_than_any_other() {
     let knows_two = SharingBoxes::new("box-0", ["box-1"].into_iter(), false);
     let quota = Quota::from_rate(RequestRate::from_milli(5_000));
     assert_eq!(quota.share(knows_two.share_rank("i-0")), 0);
-    assert!(quota.share(sharers(0, 2).share_rank("i-0")) >= 10);
-    assert!(knows_two.count() >= 99, "as many boxes as any fleet has");
+    assert!(quota.share(sharing_boxes(0, 2).share_rank("i-0")) >= 10);
+    assert!(knows_two.count() >= 99, "at least the size of the largest fleet");
 }
 
 #[rstest]
-#[case::a_lower_one_from_an_older_answer_holds_at_once(milli(500), 5, milli(500))]
-#[case::a_higher_one_from_an_older_answer_does_not(milli(9_000), 5, milli(1_000))]
-#[case::none_in_an_older_answer_says_nothing(None, 5, milli(1_000))]
-#[case::a_higher_one_from_a_later_request_holds(milli(9_000), 11, milli(9_000))]
-#[case::none_in_the_answer_to_a_later_request_ends_it(None, 11, None)]
-fn answers_overtake_each_other(
+#[case::a_lower_limit_in_an_older_response_applies(milli(500), 5, milli(500))]
+#[case::a_higher_limit_in_an_older_response_does_not(milli(9_000), 5, milli(1_000))]
+#[case::no_limit_in_an_older_response_changes_nothing(None, 5, milli(1_000))]
+#[case::a_higher_limit_for_a_later_request_applies(milli(9_000), 11, milli(9_000))]
+#[case::no_limit_for_a_later_request_ends_it(None, 11, None)]
+fn responses_out_of_order_do_not_raise_the_limit(
     #[case] rate: Option<RequestRate>,
     #[case] asked_ms: u64,
     #[case] expected: Option<RequestRate>,
 ) {
-    let mut limit = SharedLimit::new(milli(1_000), ALONE, 10);
+    let mut limit = SharedLimit::new(milli(1_000), ONLY_BOX, 10);
     let _ = limit.on_answer(rate, asked_ms, 20);
     assert_eq!(limit.rate(), expected);
 }
 
 #[rstest]
-#[case::an_older_word_changes_nothing(milli(500), 5_000, milli(1_000))]
-#[case::a_later_word_holds(milli(9_000), 12_000, milli(9_000))]
-#[case::a_later_end_ends_it(None, 12_000, None)]
-#[case::about_the_same_time_the_lower_one_holds(milli(500), 9_500, milli(500))]
-#[case::about_the_same_time_a_higher_one_does_not(milli(9_000), 10_500, milli(1_000))]
-#[case::about_the_same_time_an_end_does_not(None, 10_500, milli(1_000))]
-fn words_of_other_boxes_go_by_when_they_were_heard(
+#[case::an_older_report_changes_nothing(milli(500), 5_000, milli(1_000))]
+#[case::a_later_report_applies(milli(9_000), 12_000, milli(9_000))]
+#[case::a_later_report_of_no_limit_ends_it(None, 12_000, None)]
+#[case::the_lower_of_simultaneous_limits_applies(milli(500), 9_500, milli(500))]
+#[case::the_higher_of_simultaneous_limits_does_not(milli(9_000), 10_500, milli(1_000))]
+#[case::a_simultaneous_report_of_no_limit_does_not_end_it(None, 10_500, milli(1_000))]
+fn reports_of_other_boxes_apply_by_the_time_of_the_response(
     #[case] rate: Option<RequestRate>,
     #[case] heard_ms: u64,
     #[case] expected: Option<RequestRate>,
 ) {
-    let mut limit = SharedLimit::new(milli(1_000), ALONE, 10_000);
+    let mut limit = SharedLimit::new(milli(1_000), ONLY_BOX, 10_000);
     let _ = limit.on_peer_report(rate, heard_ms);
     assert_eq!(limit.rate(), expected);
 }
 
 #[test]
-fn what_never_reached_the_endpoint_does_not_count() {
-    let mut limit = SharedLimit::new(milli(100), ALONE, 0);
+fn a_request_that_never_reached_the_endpoint_does_not_count() {
+    let mut limit = SharedLimit::new(milli(100), ONLY_BOX, 0);
     limit.on_sent(10);
     assert!(!limit.admits(0, 20));
     limit.undo_send(10);
     assert!(limit.admits(0, 20));
-    assert!(!limit.admits(1, 20), "one that is picked for it has its place");
+    assert!(!limit.admits(1, 20), "the request that is picked but unsent uses the share");
 }
 
 #[test]
-fn an_endpoint_that_takes_nothing_is_asked_now_and_then_whether_that_holds() {
-    let limit = SharedLimit::new(milli(0), ALONE, 0);
+fn an_endpoint_with_a_limit_of_zero_is_probed_periodically() {
+    let limit = SharedLimit::new(milli(0), ONLY_BOX, 0);
     assert!(limit.admits(0, 10));
     let mut limit = limit;
     limit.on_sent(10);
@@ -113,7 +113,7 @@
 
 fn pool() -> EndpointPool {
     let mut pool = EndpointPool::new();
-    pool.set_sharing_boxes(sharers(0, 1));
+    pool.set_sharing_boxes(sharing_boxes(0, 1));
     pool.apply(EndpointChange::Updated("i-0".to_owned(), record()));
     pool
 }
@@ -125,7 +125,7 @@
 const ALMOST_NONE: ReportedLimit = ReportedLimit::Limited(RequestRate::from_milli(50));
 
 #[test]
-fn a_pause_goes_before_a_limit() {
+fn a_backoff_takes_precedence_over_a_limit() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
     let _ = pool.on_reported_limit(&picked, ReportedLimit::Limited(RequestRate::from_milli(100_000)), 0, 1);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn where_all_endpoints_are_limited_the_next_turn_is_known() {
+fn if_all_endpoints_are_limited_the_next_send_time_is_known() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
     pool.on_attempt_start(&picked);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_limit_that_comes_while_a_connection_comes_up_is_kept() {
+fn a_limit_reported_while_a_connection_opens_is_respected() {
     let mut pool = pool();
     let waiting: Vec<Pick> = (0..3)
         .map(|_| {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_request_that_is_written_again_over_a_new_connection_counts_once() {
+fn a_request_rewritten_over_a_new_connection_counts_once() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
     let _ = pool.on_reported_limit(&picked, ALMOST_NONE, 0, 1);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_record_that_lapses_and_comes_back_takes_neither_limit_nor_what_was_sent_back() {
+fn a_limit_and_its_use_survive_the_expiry_and_return_of_the_record() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
     let _ = pool.on_reported_limit(&picked, ALMOST_NONE, 0, 1);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn the_limit_of_a_life_before_says_nothing_of_the_next() {
+fn the_limit_of_an_earlier_incarnation_does_not_apply_to_the_next() {
     let mut pool = pool();
     let picked = pick(&pool, 0).unwrap();
     pool.apply(EndpointChange::Updated("i-0".to_owned(), EndpointRecord { started_ms: 2, ..record() }));
@@ -199,12 +199,12 @@
 }
 
 #[test]
-fn a_limit_is_told_once_and_again_when_it_is_confirmed() {
+fn a_limit_is_announced_once_and_again_when_it_is_confirmed() {
     let mut pool = pool();
-    pool.set_sharing_boxes(sharers(0, 99));
+    pool.set_sharing_boxes(sharing_boxes(0, 99));
     let picked = Pick::from_record("i-0", &record());
     assert!(pool.on_reported_limit(&picked, ALMOST_NONE, 0, 1));
-    assert!(!pool.on_reported_limit(&picked, ALMOST_NONE, 2, 3), "it is no news");
+    assert!(!pool.on_reported_limit(&picked, ALMOST_NONE, 2, 3), "it is already known");
     let first = pool.limit_version();
     assert_eq!(pool.limit_update_since(0, 5).limits.len(), 1);
     assert!(pool.limit_update_since(first, 5).is_empty());
@@ -213,12 +213,12 @@
 }
 
 #[test]
-fn what_another_box_tells_binds_this_one() {
+fn a_limit_reported_by_another_box_applies() {
     let mut pool = pool();
-    pool.set_sharing_boxes(sharers(0, 99));
-    let told = EndpointLimit { endpoint: "i-0".to_owned(), started_ms: 1, rate: milli(50), age_ms: 5 };
-    assert_eq!(pool.apply_limit_update(&LimitUpdate { limits: vec![told.clone()] }, 10).len(), 1);
-    assert!(pool.apply_limit_update(&LimitUpdate { limits: vec![told] }, 11).is_empty(), "it is known by then");
-    let is_mine = sharers(0, 99).share_rank("i-0").rank == 0;
-    assert_eq!(pick(&pool, 20).is_ok(), is_mine, "one box in all has a part");
+    pool.set_sharing_boxes(sharing_boxes(0, 99));
+    let reported = EndpointLimit { endpoint: "i-0".to_owned(), started_ms: 1, rate: milli(50), age_ms: 5 };
+    assert_eq!(pool.apply_limit_update(&LimitUpdate { limits: vec![reported.clone()] }, 10).len(), 1);
+    assert!(pool.apply_limit_update(&LimitUpdate { limits: vec![reported] }, 11).is_empty(), "it is already known");
+    let is_mine = sharing_boxes(0, 99).share_rank("i-0").rank == 0;
+    assert_eq!(pick(&pool, 20).is_ok(), is_mine, "only one box has a share");
 }
