--- a/crates/ochreyard-core/tests/limit_model/fleet.rs
+++ b/crates/ochreyard-core/tests/limit_model/fleet.rs
@@ -81,7 +81,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     RequestArrives { at_box: usize, request: usize },
-    ResponseArrives { at_box: usize, request: usize, reported_limit: Option<Option<u64>> },
+    Answered { at_box: usize, request: usize, reported_limit: Option<Option<u64>> },
     UpdateArrives { to: usize, from: usize, version: Option<u64>, item: Option<usize> },
 }
 
@@ -213,8 +213,8 @@
             let Some(Reverse((_, _, event))) = self.events.pop() else { return };
             match event {
                 Event::RequestArrives { at_box, request } => self.on_request_arrival(at_box, request),
-                Event::ResponseArrives { at_box, request, reported_limit } => {
-                    self.apply_response(at_box, request, reported_limit)
+                Event::Answered { at_box, request, reported_limit } => {
+                    self.apply_response(at_box, request, reported_limit);
                 }
                 Event::UpdateArrives { to, from, version, item } => self.apply_update(to, from, version, item),
             }
@@ -274,7 +274,7 @@
         self.arrival_counter.on_arrival(endpoint, at_box, reported_limit, self.now_ms);
         let response_ms = self.now_ms + self.random.in_range(HEAD_MS.0, HEAD_MS.1);
         let reported_limit = reported_limit.map(RequestRate::milli_per_s);
-        self.at(response_ms, Event::ResponseArrives { at_box, request, reported_limit: Some(reported_limit) });
+        self.at(response_ms, Event::Answered { at_box, request, reported_limit: Some(reported_limit) });
     }
 
     fn apply_response(&mut self, at: usize, request: usize, reported_limit: Option<Option<u64>>) {
