--- a/crates/ochreyard-core/src/direct.rs
+++ b/crates/ochreyard-core/src/direct.rs
@@ -1,8 +1,8 @@
-//! Decisions of an entry that calls endpoints itself, without an agent between.
+//! Decisions of an entry that calls endpoints directly, without an agent in between.
 //!
-//! The endpoint itself says when it has not run a request, and checks its own
-//! identity, so the attempt needs no home elsewhere: its whole story is in the
-//! entry that took it from the caller.
+//! The endpoint states itself when it has not run a request, and checks its own
+//! identity, so no other process keeps state of an attempt: all of it is in the
+//! entry that accepted the request from the caller.
 
 mod allowed_regions;
 mod box_list;
--- a/crates/ochreyard-core/src/direct/box_record.rs
+++ b/crates/ochreyard-core/src/direct/box_record.rs
@@ -1,19 +1,19 @@
-//! What a box says of itself to other boxes.
+//! Record that a box sends of itself to other boxes.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// What a box says of itself.
+/// Record that a box sends of itself to other boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRecord {
-    /// Where other boxes reach it.
+    /// Address at which other boxes reach the box.
     pub addr: SocketAddr,
-    /// The data centre that it stands in.
+    /// Data centre of the box.
     #[serde(default)]
     pub data_centre: String,
-    /// Its share of processor cores, in thousandths.
+    /// Processor cores available to the box, in thousandths of a core.
     pub cores_permille: u64,
-    /// What its link carries, in megabits a second.
+    /// Bandwidth of the link of the box, in megabits per second.
     pub link_mbps: u64,
 }
--- a/crates/ochreyard-core/src/direct/catalog.rs
+++ b/crates/ochreyard-core/src/direct/catalog.rs
@@ -1,78 +1,80 @@
-//! What the platform's log says of endpoints, folded so that late news cannot
-//! undo newer news.
+//! Folds the endpoint records of the platform's log, so that a record that arrives late
+//! cannot overwrite a newer one.
 
-mod kept;
+mod known_endpoint;
 
 use std::collections::{BTreeSet, HashMap};
 
-use self::kept::Kept;
+use self::known_endpoint::KnownEndpoint;
 use super::endpoint_record::EndpointRecord;
 use super::position::Position;
 
-/// How long an endpoint whose record went while the log was away, or was lost when it came back from an older copy, may
-/// take to write it again.
-const RETURN_GRACE_MS: u64 = 2_000;
+/// Time that an endpoint has to write its record again, in milliseconds, after the record expired while the log was
+/// unreachable or was lost when the log was restored from an older copy.
+const RECOVERY_GRACE_MS: u64 = 2_000;
 
-/// One change of the list of endpoints.
+/// A change of the set of known endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EndpointChange {
-    /// A new endpoint, or a changed one.
+    /// An endpoint is new, or its record has changed.
     Updated(String, EndpointRecord),
-    /// An endpoint that is gone.
+    /// An endpoint is gone.
     Removed(String),
 }
 
 /// The endpoints known from the log, or from another box that reads it.
 ///
-/// For each endpoint the record at the latest position counts, from whichever reader it came. When the log comes back from an
-/// older copy, its records are read anew: an end, a leaving or a life that was read before stays read where the copy does
-/// not know of it, until the endpoint writes again; a record that the copy lacks may be written again for a while.
+/// For each endpoint the record at the latest position wins, whichever box read it. When the log has been restored
+/// from an older copy, its records are read again. A removal, a leaving or an incarnation that is newer than the copy
+/// stays known until the endpoint writes again; an endpoint whose record is absent from the copy has some time to
+/// write it again.
 #[derive(Debug, Clone, Default)]
 pub struct Catalog {
-    kept: HashMap<String, Kept>,
-    /// Endpoints whose record went in an outage of the log or soon after: they may write it again.
+    endpoints: HashMap<String, KnownEndpoint>,
+    /// Endpoints whose record disappeared in an outage of the log or soon after; they may write it again.
     unconfirmed: BTreeSet<String>,
-    away_since_ms: Option<u64>,
-    back_at_ms: u64,
-    /// The latest era of the log that is known.
+    unreachable_since_ms: Option<u64>,
+    recovered_ms: u64,
+    /// Latest known era of the log.
     era: u64,
-    /// The end that the log had when it was first listed in that era: what stands there or later was written since.
-    copy_end: Option<Position>,
+    /// End of the log when it was first listed in that era; records at this position or later were written after the
+    /// restore.
+    restored_end: Option<Position>,
 }
 
 impl Catalog {
-    /// An empty catalog.
+    /// Creates an empty catalog.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The log cannot be read at present.
+    /// The log could not be read.
     pub fn on_log_unreachable(&mut self, now_ms: u64) {
-        self.away_since_ms.get_or_insert(now_ms);
+        self.unreachable_since_ms.get_or_insert(now_ms);
     }
 
     /// The log was read.
     pub fn on_log_read(&mut self, now_ms: u64) {
-        if self.away_since_ms.take().is_some() {
-            self.back_at_ms = now_ms;
+        if self.unreachable_since_ms.take().is_some() {
+            self.recovered_ms = now_ms;
         }
     }
 
-    /// The log has come back from an older copy, and this is its era now. What was written in eras before counts no more
-    /// where it comes late.
+    /// The log has been restored from an older copy, and is in this era now. Records of earlier eras that arrive later
+    /// are ignored.
     ///
-    /// `noticed_ms` is `None` where this is the first era that is known.
+    /// `noticed_ms` is `None` where this is the first known era.
     pub fn on_log_restored(&mut self, era: u64, noticed_ms: Option<u64>) {
         self.era = era;
-        self.copy_end = None;
+        self.restored_end = None;
         if let Some(noticed_ms) = noticed_ms {
-            self.away_since_ms = None;
-            self.back_at_ms = noticed_ms;
+            self.unreachable_since_ms = None;
+            self.recovered_ms = noticed_ms;
         }
     }
 
-    /// Takes one record; `None` says that the endpoint has lost its entry.
+    /// Applies one record; `None` is a tombstone: the record was deleted or has expired.
     pub fn apply(
         &mut self,
         id: &str,
@@ -80,20 +82,22 @@
         record: Option<EndpointRecord>,
         now_ms: u64,
     ) -> Option<EndpointChange> {
-        if position.era < self.era || self.kept.get(id).is_some_and(|kept| !kept.is_news(position, record.as_ref())) {
+        if position.era < self.era
+            || self.endpoints.get(id).is_some_and(|endpoint| !endpoint.is_superseded_by(position, record.as_ref()))
+        {
             return None;
         }
-        let copy_end = self.copy_end;
-        if let Some(kept) = self.kept.get_mut(id)
-            && kept.may_outlive(position, copy_end, record.as_ref())
+        let restored_end = self.restored_end;
+        if let Some(endpoint) = self.endpoints.get_mut(id)
+            && endpoint.may_be_outdated(position, restored_end, record.as_ref())
         {
-            kept.outlive(position, record.as_ref());
+            endpoint.keep_known_record(position, record.as_ref());
             return None;
         }
         self.replace(id, position, record, now_ms)
     }
 
-    /// Takes a record in place of what is known.
+    /// Replaces the known state by a record.
     fn replace(
         &mut self,
         id: &str,
@@ -101,18 +105,18 @@
         record: Option<EndpointRecord>,
         now_ms: u64,
     ) -> Option<EndpointChange> {
-        let former = self.kept.remove(id);
-        let known = former.as_ref().and_then(|kept| kept.record.clone());
-        self.kept.insert(id.to_owned(), Kept::after(former, position, record.clone()));
+        let previous = self.endpoints.remove(id);
+        let previous_record = previous.as_ref().and_then(|endpoint| endpoint.record.clone());
+        self.endpoints.insert(id.to_owned(), KnownEndpoint::replacing(previous, position, record.clone()));
         match record {
             Some(record) => {
                 let was_unconfirmed = self.unconfirmed.remove(id);
-                let is_news = was_unconfirmed || known.as_ref() != Some(&record);
-                is_news.then(|| EndpointChange::Updated(id.to_owned(), record))
+                let has_changed = was_unconfirmed || previous_record.as_ref() != Some(&record);
+                has_changed.then(|| EndpointChange::Updated(id.to_owned(), record))
             }
-            // An entry that lapsed while the log was away says nothing of the endpoint:
-            // it may write itself back.
-            None if self.is_settling(now_ms) => {
+            // A record that expired while the log was unreachable does not mean that the
+            // endpoint is gone: it may write its record again.
+            None if self.is_in_grace_period(now_ms) => {
                 self.unconfirmed.insert(id.to_owned());
                 None
             }
@@ -120,78 +124,88 @@
         }
     }
 
-    /// Endpoints that did not write themselves back in time. Their time runs from the log's return, not from when this box
-    /// read that a record had gone: one that leaves soon after an outage would get work for seconds too long.
+    /// Removes the endpoints that did not write their record again in time, and returns them. The time runs from the
+    /// recovery of the log, not from when this box read that a record was gone: an endpoint that leaves soon after an
+    /// outage would otherwise get requests for seconds too long.
     pub fn expire_unconfirmed(&mut self, now_ms: u64) -> Vec<EndpointChange> {
-        if self.is_settling(now_ms) {
+        if self.is_in_grace_period(now_ms) {
             return Vec::new();
         }
         std::mem::take(&mut self.unconfirmed).into_iter().map(EndpointChange::Removed).collect()
     }
 
-    /// The endpoints that changed at `from` or later, with the position of their change, as another box may take them over,
-    /// and those of which the log's copy knows less. One whose entry lapsed, and may come back, is left out until that is
-    /// settled.
+    /// Returns the endpoints that changed at `from` or later, with the position of the change, for another box to
+    /// apply, and those whose end or leaving is newer than the restored log. An endpoint whose record has expired and
+    /// may be written again is left out until that is settled.
     pub fn changed_since(&self, from: Position) -> impl Iterator<Item = (&str, Position, Option<&EndpointRecord>)> {
-        // What was not read again since the log came back may be lost.
-        let is_present = |kept: &Kept| kept.position.era == self.era;
-        let is_changed = move |kept: &Kept| kept.changed >= from && !kept.is_beyond_copy;
-        let is_told = move |kept: &Kept| is_present(kept) && (is_changed(kept) || kept.is_over_beyond_copy());
-        let changed =
-            self.kept.iter().filter(move |(id, kept)| is_told(kept) && !self.unconfirmed.contains(id.as_str()));
-        changed.map(|(id, kept)| {
-            let position = if kept.is_beyond_copy { kept.position } else { kept.changed };
-            (id.as_str(), position, kept.record.as_ref())
+        // A state that was not read again since the log was restored may be lost.
+        let is_present = |endpoint: &KnownEndpoint| endpoint.position.era == self.era;
+        let is_changed = move |endpoint: &KnownEndpoint| endpoint.changed_at >= from && !endpoint.is_newer_than_log;
+        let is_published = move |endpoint: &KnownEndpoint| {
+            is_present(endpoint) && (is_changed(endpoint) || endpoint.is_end_newer_than_log())
+        };
+        let changed = self
+            .endpoints
+            .iter()
+            .filter(move |(id, endpoint)| is_published(endpoint) && !self.unconfirmed.contains(id.as_str()));
+        changed.map(|(id, endpoint)| {
+            let position = if endpoint.is_newer_than_log { endpoint.position } else { endpoint.changed_at };
+            (id.as_str(), position, endpoint.record.as_ref())
         })
     }
 
-    /// What is told of one endpoint, and the position of its change; `None` where its entry lapsed and may come back.
+    /// Returns the record of one endpoint as other boxes are told it, with the position of its last change; `None`
+    /// where the record has expired and may be written again.
     #[must_use]
     pub fn published(&self, id: &str) -> Option<(Position, Option<&EndpointRecord>)> {
-        let kept = self.kept.get(id).filter(|_| !self.unconfirmed.contains(id))?;
-        Some((kept.changed, kept.record.as_ref()))
+        let endpoint = self.endpoints.get(id).filter(|_| !self.unconfirmed.contains(id))?;
+        Some((endpoint.changed_at, endpoint.record.as_ref()))
     }
 
-    /// Whether no entry has lapsed that may come back. Until then another box that took
-    /// over all changes would miss some, and must not rely on them.
+    /// Returns whether no record has expired that may be written again. Until then another box
+    /// that applied all changes would miss some, and must not rely on them.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.unconfirmed.is_empty()
     }
 
-    /// The log is listed whole, and ends here.
+    /// The log has been listed completely, and ends at `end`.
     pub fn on_listing_end(&mut self, end: Position) {
         if end.era == self.era {
-            self.copy_end.get_or_insert(end);
+            self.restored_end.get_or_insert(end);
         }
     }
 
-    /// Endpoints that a whole reading of the log no longer lists are gone.
+    /// Removes the endpoints that are absent from a complete listing of the log.
     pub fn retain_listed(&mut self, listed: &BTreeSet<String>, end: Position, now_ms: u64) -> Vec<EndpointChange> {
         if end.era < self.era {
             return Vec::new();
         }
-        let is_missing = |id: &str, kept: &Kept| kept.record.is_some() && !listed.contains(id);
-        let missing: Vec<String> =
-            self.kept.iter().filter(|(id, kept)| is_missing(id, kept)).map(|(id, _)| id.clone()).collect();
-        missing.into_iter().filter_map(|id| self.miss(&id, end, now_ms)).collect()
+        let is_unlisted = |id: &str, endpoint: &KnownEndpoint| endpoint.record.is_some() && !listed.contains(id);
+        let unlisted: Vec<String> = self
+            .endpoints
+            .iter()
+            .filter(|(id, endpoint)| is_unlisted(id, endpoint))
+            .map(|(id, _)| id.clone())
+            .collect();
+        unlisted.into_iter().filter_map(|id| self.remove_unlisted(&id, end, now_ms)).collect()
     }
 
-    /// An endpoint is not in a listing after which reading goes on from `end`.
-    fn miss(&mut self, id: &str, end: Position, now_ms: u64) -> Option<EndpointChange> {
-        let learned = self.kept.get(id).filter(|kept| end > kept.position)?.learned;
-        // In a later era it may be missing since the copy lacks it: that tells nothing newer.
+    /// Handles an endpoint that is absent from a listing after which reading continues at `end`.
+    fn remove_unlisted(&mut self, id: &str, end: Position, now_ms: u64) -> Option<EndpointChange> {
+        let learned = self.endpoints.get(id).filter(|endpoint| end > endpoint.position)?.learned_at;
+        // In a later era the endpoint may be absent because the copy is older, which is nothing new.
         let learned = if learned.era < end.era { learned } else { end };
         let change = self.replace(id, end, None, now_ms);
-        if let Some(kept) = self.kept.get_mut(id) {
-            kept.is_missing = true;
-            kept.learned = learned;
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.is_unlisted = true;
+            endpoint.learned_at = learned;
         }
         change
     }
 
-    fn is_settling(&self, now_ms: u64) -> bool {
-        let since_back = now_ms.saturating_sub(self.back_at_ms);
-        self.away_since_ms.is_some() || (self.back_at_ms > 0 && since_back < RETURN_GRACE_MS)
+    fn is_in_grace_period(&self, now_ms: u64) -> bool {
+        let since_recovery_ms = now_ms.saturating_sub(self.recovered_ms);
+        self.unreachable_since_ms.is_some() || (self.recovered_ms > 0 && since_recovery_ms < RECOVERY_GRACE_MS)
     }
 }
--- a/crates/ochreyard-core/src/direct/endpoint_incarnation.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_incarnation.rs
@@ -1,17 +1,17 @@
-//! One life of an endpoint.
+//! Identity of one incarnation of an endpoint.
 
 use std::fmt;
 
-/// One life of an endpoint, from its start to its end.
+/// One incarnation of an endpoint, from its start to its end.
 ///
-/// One that starts again may keep its identifier. It knows nothing of before, so nothing that was learned of
-/// the life before, or was sent to it, says anything of the next.
+/// An endpoint that restarts may keep its identifier. It has lost its state, so nothing that was learned of the
+/// previous incarnation, or was sent to it, applies to the next one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct EndpointIncarnation {
-    /// Its identifier.
+    /// Identifier of the endpoint.
     pub id: String,
-    /// When it started, by its own clock, in milliseconds since 1970; 0 where it does not tell. Clocks
-    /// may be behind, so a later life need not have a higher number.
+    /// When the incarnation started, by the clock of the endpoint, in milliseconds since 1970; 0 where the endpoint
+    /// does not state it. Clocks may be wrong, so a later incarnation need not have a higher number.
     pub started_ms: u64,
 }
 
--- a/crates/ochreyard-core/src/direct/endpoint_record.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_record.rs
@@ -1,25 +1,26 @@
-//! An endpoint as it writes of itself into the platform's log.
+//! Record that an endpoint writes of itself to the platform's log.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One endpoint as its own record says.
+/// Record of one endpoint, written by the endpoint itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its service.
+    /// Service of the endpoint.
     pub service: String,
-    /// Where it listens.
+    /// Address that the endpoint listens on.
     pub addr: SocketAddr,
-    /// The data centre that it stands in.
+    /// Data centre of the endpoint.
     pub data_centre: String,
-    /// Requests that it runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub slots: u64,
-    /// Whether it leaves: no new work.
+    /// Whether the endpoint is leaving, and must get no new requests.
     pub is_leaving: bool,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// How much longer the endpoint is slow after its start, in milliseconds.
     pub cold_ms: u64,
-    /// When this life of it started, by its own clock, in milliseconds since 1970; 0 where it does not tell.
+    /// When this incarnation started, by the clock of the endpoint, in milliseconds since 1970; 0 where the endpoint
+    /// does not state it.
     #[serde(default, rename = "born_ms")]
     pub started_ms: u64,
 }
--- a/crates/ochreyard-core/src/direct/evacuation/evacuation_update.rs
+++ b/crates/ochreyard-core/src/direct/evacuation/evacuation_update.rs
@@ -1,16 +1,16 @@
-//! An evacuation as boxes tell each other of it.
+//! The evacuation of a data centre as boxes exchange it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::direct::position::Position;
 
-/// What one box tells another of the evacuation of a data centre.
+/// State of the evacuation of a data centre, as one box sends it to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationUpdate {
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// Where the record stands in the log.
+    /// Position of the record in the log.
     pub position: Position,
-    /// Whether the data centre gets no request; `false` once the operator has taken that back.
+    /// Whether the data centre gets no requests; `false` once the operator has withdrawn the evacuation.
     pub is_in_force: bool,
 }
--- a/crates/ochreyard-core/src/direct/group_update.rs
+++ b/crates/ochreyard-core/src/direct/group_update.rs
@@ -1,46 +1,46 @@
-//! What a group's leader tells entries of it.
+//! Updates on a group that its leader sends to entries.
 
 use serde::{Deserialize, Serialize};
 
 use super::roster_loads::RosterLoads;
 
-/// What the entry that tells of a group does there.
+/// Role in a group of the entry that reports on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub enum ReporterRole {
-    /// It leads: most agents have granted it.
+    /// The entry leads the group: a majority of agents has granted it the lead.
     #[default]
     Leads,
-    /// It reaches too few agents to lead, and nobody else is heard of.
+    /// The entry reaches too few agents to lead, and knows of no other leader.
     Observes,
-    /// It has given the lead back.
+    /// The entry has given up the lead.
     StoodDown,
 }
 
-/// One group, as an entry saw it a moment ago.
+/// State of a group, as an entry observed it recently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct GroupUpdate {
     /// Name of the service.
     pub service: String,
     /// Name of the group.
     pub group: String,
-    /// What the entry that tells does there.
+    /// Role in the group of the entry that reports.
     #[serde(rename = "teller")]
     pub reporter_role: ReporterRole,
-    /// Whether its steps go on: it is whole, and does not stand.
+    /// Whether the group makes progress: it is complete, and is not stalled.
     pub is_serving: bool,
-    /// How long its steps take of late, in milliseconds; 0 where that is not known.
+    /// Recent duration of a step, in milliseconds; 0 where that is not known.
     #[serde(default)]
     pub step_ms: u64,
-    /// Its ranks, as far as their endpoints are known; empty where their loads are told without their names.
+    /// Ranks of the group whose endpoints are known; empty where `loads` is sent instead.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub ranks: Vec<RankUpdate>,
-    /// Their loads, for boxes that know their names.
+    /// Loads of the ranks without their names, for boxes that know the names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub loads: Option<RosterLoads>,
 }
 
 impl GroupUpdate {
-    /// The same without the names of the ranks.
+    /// Returns the same update with the loads of the ranks in place of the ranks and their names.
     #[must_use]
     pub fn without_names(&self) -> Self {
         Self {
@@ -53,22 +53,22 @@
     }
 }
 
-/// One rank of a group. It is sent as a plain list of its four values, since a leader
-/// tells dozens of boxes of dozens of ranks.
+/// One rank of a group. It is serialized as a list of its four values without names, since a
+/// leader sends dozens of ranks to dozens of boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RankNewsList", into = "RankNewsList")]
 pub struct RankUpdate {
-    /// Identifier of its endpoint.
+    /// Identifier of the endpoint of the rank.
     pub endpoint: String,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u64,
-    /// Requests that wait there.
+    /// Number of waiting requests.
     pub waiting: u64,
-    /// How much longer its work takes than usual, in thousandths of the usual time.
+    /// Present duration of the work of the rank relative to the usual one, in thousandths; 1000 is as usual.
     pub pace_permille: u64,
 }
 
-/// Endpoint, running, waiting, pace in thousandths.
+/// Endpoint, running requests, waiting requests, pace in thousandths.
 type RankNewsList = (String, u64, u64, u64);
 
 impl From<RankNewsList> for RankUpdate {
@@ -78,7 +78,7 @@
 }
 
 impl From<RankUpdate> for RankNewsList {
-    fn from(news: RankUpdate) -> Self {
-        (news.endpoint, news.running, news.waiting, news.pace_permille)
+    fn from(update: RankUpdate) -> Self {
+        (update.endpoint, update.running, update.waiting, update.pace_permille)
     }
 }
--- a/crates/ochreyard-core/src/direct/poll_schedule.rs
+++ b/crates/ochreyard-core/src/direct/poll_schedule.rs
@@ -1,4 +1,4 @@
-//! Which other boxes a box asks, again and again, while the platform's log answers it.
+//! Which other boxes a box polls periodically while the platform's log is reachable.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,41 @@
 use super::log_progress::LogProgress;
 use super::read_role::LocalBox;
 
-/// Every how many rounds one more box is asked, whichever. What is newest then reaches a box within a few such rounds,
-/// whomever it relies on; a third more questions is what that costs.
-const ANY_EVERY: u64 = 3;
+/// A random box is polled once in this many rounds. The newest state then reaches a box within a few such polls,
+/// whatever its source; this costs a third more polls.
+const RANDOM_POLL_ROUNDS: u64 = 3;
 
-/// Whom a box asks in one round.
+/// The boxes that a box polls in one round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PollTargets {
-    /// The box that it relies on for the records of endpoints.
+    /// The source of the box for the records of endpoints.
     pub source: Option<SocketAddr>,
-    /// Any box, for what else is new. Boxes that rely on each other may all be behind with the configuration, each by a
-    /// reading of its own that hangs, while they keep each other's records of endpoints fresh.
+    /// A random box, for other updates. Boxes that are each other's sources may all be behind with the configuration,
+    /// each by a hung read of its own, while they keep each other's records of endpoints fresh.
     pub random: Option<SocketAddr>,
 }
 
-/// Counts the rounds of a box.
+/// Selects the boxes to poll in each round.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PollSchedule {
     rounds: u64,
 }
 
 impl PollSchedule {
-    /// Whom the box `own` asks in the next round; `draw` is any evenly spread number. A box that reads for others relies
-    /// on nobody, and asks any box each time.
+    /// Returns the boxes that the box `own` polls in the next round; `draw` is a uniformly distributed random number. A
+    /// reader has no source, and polls a random box in each round.
     pub fn next(
         &mut self,
-        reading: &LogProgress,
+        progress: &LogProgress,
         own: LocalBox,
         others: &BoxList,
         draw: u64,
         now_ms: u64,
     ) -> PollTargets {
         self.rounds += 1;
-        let source = reading.source(own, others, now_ms);
-        let asks_random = source.is_none() || self.rounds.is_multiple_of(ANY_EVERY);
-        let random = asks_random.then(|| random_box(others, draw)).flatten();
+        let source = progress.source(own, others, now_ms);
+        let polls_random = source.is_none() || self.rounds.is_multiple_of(RANDOM_POLL_ROUNDS);
+        let random = polls_random.then(|| random_box(others, draw)).flatten();
         PollTargets { source, random: random.filter(|addr| Some(*addr) != source) }
     }
 }
--- a/crates/ochreyard-core/src/direct/position.rs
+++ b/crates/ochreyard-core/src/direct/position.rs
@@ -1,4 +1,4 @@
-//! Where a record stands in the platform's log.
+//! Position of a record in the platform's log.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -6,26 +6,26 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Where a record stands in a topic of the platform's log.
+/// Position of a record in a topic of the platform's log.
 ///
-/// The log may come back from an older copy: offsets then go back and are given out again, under the next era. What stands in
-/// a later era is later, whatever its offset.
+/// The log may be restored from an older copy: offsets then go back and are assigned again, in the next era. A record
+/// of a later era is later, whatever its offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Position {
-    /// The era of the log; 0 where it names none.
+    /// Era of the log; 0 where the log states none.
     pub era: u64,
-    /// The offset in the topic, within this era.
+    /// Offset in the topic, within this era.
     pub offset: u64,
 }
 
 impl Position {
-    /// The position `offset` of an era.
+    /// Creates a position from an era and an offset.
     #[must_use]
     pub const fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// The position after this one.
+    /// Returns the position after this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self { era: self.era, offset: self.offset + 1 }
@@ -38,13 +38,13 @@
     }
 }
 
-/// A text that names no position.
+/// Error of parsing a [`Position`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ParsePositionError {
-    /// It is not two numbers with a point between them.
-    #[error("`{0}` is not ERA.OFFSET")]
-    Form(String),
-    /// One of the two is no number.
+    /// The text is not two parts with a point between them.
+    #[error("`{0}` is not a position of the form ERA.OFFSET")]
+    Format(String),
+    /// One of the two parts is not a number.
     #[error(transparent)]
     Number(#[from] ParseIntError),
 }
@@ -53,7 +53,7 @@
     type Err = ParsePositionError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let (era, offset) = text.split_once('.').ok_or_else(|| ParsePositionError::Form(text.to_owned()))?;
+        let (era, offset) = text.split_once('.').ok_or_else(|| ParsePositionError::Format(text.to_owned()))?;
         Ok(Self { era: era.parse()?, offset: offset.parse()? })
     }
 }
--- a/crates/ochreyard-core/src/direct/read_role.rs
+++ b/crates/ochreyard-core/src/direct/read_role.rs
@@ -1,9 +1,9 @@
-//! Which boxes read the platform's log, which pass on what they were told, and which are told.
+//! Which boxes read the platform's log, which relay it to their data centre, and which follow.
 //!
-//! Each call to the log is priced, and all boxes would read the same. So the first boxes of a common order read it for all,
-//! the first ones of each data centre ask those, and all others ask within their data centre: one copy of what changes
-//! crosses from one data centre to another for each that relays, however many boxes there are. All boxes find the order by
-//! themselves, so nobody has to agree on anything, and where lists of boxes differ a few more read.
+//! Each call to the log has a price, and all boxes would read the same records. So the first boxes of a common order
+//! read the log for all, the first ones of each data centre poll the readers, and all others poll the relays of their
+//! data centre: changes cross between data centres once per relay, however many boxes there are. Each box computes the
+//! order from a hash of the names, so no agreement is needed; where lists of boxes differ, a few more boxes read.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,105 +12,106 @@
 use super::box_record::BoxRecord;
 use crate::hash;
 
-/// Boxes that read for all: one may be lost or slow without a gap for those that ask the next.
+/// Number of readers: one may fail or be slow without a gap, since boxes then poll the next one.
 const READERS: usize = 2;
-/// Boxes of a data centre that ask the readers for the others in it.
+/// Number of relays per data centre.
 const RELAYS: usize = 2;
 
-/// The box that looks for its duty.
+/// The box that computes its role.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalBox<'a> {
-    /// Its name.
+    /// Name of the box.
     pub name: &'a str,
-    /// The data centre that it stands in.
+    /// Data centre of the box.
     pub data_centre: &'a str,
 }
 
-/// What a box does to know what the platform's log holds.
+/// How a box learns the contents of the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRole {
-    /// It reads the log for all.
+    /// The box reads the log for all boxes.
     Reader,
-    /// It asks those that read, for the others of its data centre. It also waits at the log for what operators write.
+    /// The box polls the readers for its data centre. It also waits at the log for records of operators.
     Relay,
-    /// It asks those that relay.
+    /// The box polls the relays of its data centre.
     Follower,
 }
 
 impl ReadRole {
-    /// The duty of the box `own` among all `others`. Those that answer nobody have none.
+    /// Returns the role of the box `own` among `others`. Boxes that do not respond have no role.
     #[must_use]
     pub fn of(own: LocalBox, others: &BoxList, now_ms: u64) -> Self {
-        let before =
-            |others: &mut dyn Iterator<Item = &str>| others.filter(|name| place(name) < place(own.name)).count();
-        if before(&mut others.responsive(now_ms).map(|(name, _)| name)) < READERS {
+        let count_before = |others: &mut dyn Iterator<Item = &str>| {
+            others.filter(|name| order_key(name) < order_key(own.name)).count()
+        };
+        if count_before(&mut others.responsive(now_ms).map(|(name, _)| name)) < READERS {
             return Self::Reader;
         }
-        let is_near = |(_, record): &(&str, &BoxRecord)| record.data_centre == own.data_centre;
-        let is_first = before(&mut others.responsive(now_ms).filter(is_near).map(|(name, _)| name)) < RELAYS;
+        let is_local = |(_, record): &(&str, &BoxRecord)| record.data_centre == own.data_centre;
+        let is_first = count_before(&mut others.responsive(now_ms).filter(is_local).map(|(name, _)| name)) < RELAYS;
         if is_first { Self::Relay } else { Self::Follower }
     }
 }
 
-/// Whether the box `own` is the one that tells the others of its data centre of news: the first one that answers.
+/// Returns whether the box `own` broadcasts updates to its data centre: it is the first one there that responds.
 #[must_use]
 pub fn broadcasts_to_data_centre(own: LocalBox, others: &BoxList, now_ms: u64) -> bool {
-    let mut near = others.responsive(now_ms).filter(|(_, record)| record.data_centre == own.data_centre);
-    near.all(|(name, _)| place(own.name) < place(name))
+    let mut local = others.responsive(now_ms).filter(|(_, record)| record.data_centre == own.data_centre);
+    local.all(|(name, _)| order_key(own.name) < order_key(name))
 }
 
-/// Whether the box `own` is the first one that reads for all.
+/// Returns whether the box `own` broadcasts updates to all boxes: it is the first reader.
 #[must_use]
 pub fn broadcasts_to_fleet(own: LocalBox, others: &BoxList, now_ms: u64) -> bool {
-    others.responsive(now_ms).all(|(name, _)| place(own.name) < place(name))
+    others.responsive(now_ms).all(|(name, _)| order_key(own.name) < order_key(name))
 }
 
-/// The place of a box in the order that all boxes find by themselves.
-fn place(name: &str) -> u64 {
+/// Sort key of a box in the common order, computed from its name alone.
+fn order_key(name: &str) -> u64 {
     hash::mix(hash::fnv1a(name.as_bytes()))
 }
 
-/// The box that `own` asks after it has passed over `passed_over` others that had nothing fresh to tell: first those that it
-/// is meant to rely on, then all others. `None` where it reads itself, or knows no other.
-pub(super) fn source(own: LocalBox, others: &BoxList, passed_over: usize, now_ms: u64) -> Option<SocketAddr> {
-    let duty = ReadRole::of(own, others, now_ms);
-    if duty == ReadRole::Reader {
+/// Returns the box that `own` polls after it has skipped `skipped` sources without a fresh answer: first its preferred
+/// sources, then all others. `None` where it is a reader, or knows no other box.
+pub(super) fn source(own: LocalBox, others: &BoxList, skipped: usize, now_ms: u64) -> Option<SocketAddr> {
+    let role = ReadRole::of(own, others, now_ms);
+    if role == ReadRole::Reader {
         return None;
     }
-    let at = passed_over.checked_rem(others.len())?;
-    let meant = meant_sources(own, duty, others, now_ms);
-    if let Some(addr) = meant.get(at) {
+    let at = skipped.checked_rem(others.len())?;
+    let preferred = preferred_sources(own, role, others, now_ms);
+    if let Some(addr) = preferred.get(at) {
         return Some(*addr);
     }
     let mut ordered: Vec<(&str, &BoxRecord)> =
-        others.iter().filter(|(_, record)| !meant.contains(&record.addr)).collect();
-    ordered.sort_by_cached_key(|(name, _)| place(name));
-    ordered.get(at - meant.len()).map(|(_, record)| record.addr)
+        others.iter().filter(|(_, record)| !preferred.contains(&record.addr)).collect();
+    ordered.sort_by_cached_key(|(name, _)| order_key(name));
+    ordered.get(at - preferred.len()).map(|(_, record)| record.addr)
 }
 
-/// The boxes that `own` is meant to rely on, half of all boxes each in another order.
-fn meant_sources(own: LocalBox, duty: ReadRole, others: &BoxList, now_ms: u64) -> Vec<SocketAddr> {
-    let near = others
+/// Returns the preferred sources of `own`. Half of all boxes use each order of them, which spreads the load.
+fn preferred_sources(own: LocalBox, role: ReadRole, others: &BoxList, now_ms: u64) -> Vec<SocketAddr> {
+    let local = others
         .responsive(now_ms)
-        .filter(|(_, record)| duty == ReadRole::Follower && record.data_centre == own.data_centre);
-    let mut meant = Vec::with_capacity(RELAYS + READERS);
-    for mut sources in [first(near, RELAYS), first(others.responsive(now_ms), READERS)] {
-        let turn = usize::try_from(place(own.name) % sources.len().max(1) as u64).unwrap_or(0);
-        sources.rotate_left(turn);
-        meant.extend(sources);
+        .filter(|(_, record)| role == ReadRole::Follower && record.data_centre == own.data_centre);
+    let mut preferred = Vec::with_capacity(RELAYS + READERS);
+    for mut sources in [first_in_order(local, RELAYS), first_in_order(others.responsive(now_ms), READERS)] {
+        let offset = usize::try_from(order_key(own.name) % sources.len().max(1) as u64).unwrap_or(0);
+        sources.rotate_left(offset);
+        preferred.extend(sources);
     }
     let mut seen = HashSet::new();
-    meant.retain(|addr| seen.insert(*addr));
-    meant
+    preferred.retain(|addr| seen.insert(*addr));
+    preferred
 }
 
-/// The addresses of the first `count` boxes of the order, without putting all in order.
-fn first<'a>(boxes: impl Iterator<Item = (&'a str, &'a BoxRecord)>, count: usize) -> Vec<SocketAddr> {
+/// Returns the addresses of the first `count` boxes of the common order, without sorting all.
+fn first_in_order<'a>(boxes: impl Iterator<Item = (&'a str, &'a BoxRecord)>, count: usize) -> Vec<SocketAddr> {
     let mut found: Vec<(u64, SocketAddr)> = Vec::with_capacity(count + 1);
     for (name, record) in boxes {
-        let at = found.partition_point(|(other, _)| *other < place(name));
+        let at = found.partition_point(|(other, _)| *other < order_key(name));
         if at < count {
-            found.insert(at, (place(name), record.addr));
+            found.insert(at, (order_key(name), record.addr));
             found.truncate(count);
         }
     }
--- a/crates/ochreyard-core/src/direct/roster_loads.rs
+++ b/crates/ochreyard-core/src/direct/roster_loads.rs
@@ -1,67 +1,67 @@
-//! The loads of a group's ranks without their names, for boxes that know those.
+//! The loads of the ranks of a group without their names, for boxes that know the names.
 
 use serde::{Deserialize, Serialize};
 
 use super::group_update::RankUpdate;
 use crate::hash;
 
-/// The first character of a number; greater numbers are the characters after it.
+/// Character of the number 0; greater numbers use the characters after it.
 const ZERO: u8 = b'0';
-/// Characters a rank: requests that run, requests that wait.
-const CHARACTERS: usize = 2;
-/// The highest number that has a character: far more requests than a rank runs or lets wait.
-const MOST: u64 = (b'z' - ZERO) as u64;
-/// The pace of a rank that is as fast as usual, in thousandths.
-const USUAL_PACE_PERMILLE: u64 = 1_000;
+/// Number of characters per rank: one for running requests, one for waiting ones.
+const CHARS_PER_RANK: usize = 2;
+/// Largest number that can be encoded; a rank runs or queues far fewer requests.
+const MAX_LOAD: u64 = (b'z' - ZERO) as u64;
+/// Pace of a rank that is as fast as usual, in thousandths.
+const NORMAL_PACE_PERMILLE: u64 = 1_000;
 
-/// What changes from moment to moment of a group's ranks, in the order of its roster.
+/// Loads and paces of the ranks of a group, in the order of its roster.
 ///
-/// A rank's name takes ten times as many bytes as its load, and hundreds of boxes are told of dozens of ranks several times a
-/// second.
+/// The name of a rank takes ten times as many bytes as its load, and hundreds of boxes are sent the loads of dozens of
+/// ranks several times per second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterLoads {
-    /// Digest of the names, so that a box does not read loads by another roster.
+    /// Digest of the names of the ranks, so that a box does not apply the loads to another roster.
     pub roster: u64,
-    /// Two characters a rank: requests that run, requests that wait.
+    /// Two characters per rank: running requests, waiting requests.
     loads: String,
-    /// Ranks that are faster or slower than usual, by their number, with their pace in thousandths.
+    /// Ranks that are faster or slower than usual, by their index in the roster, with their pace in thousandths.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     paces: Vec<(u16, u64)>,
 }
 
 impl RosterLoads {
-    /// The loads of these ranks.
+    /// Encodes the loads of the given ranks.
     #[must_use]
     pub fn of(ranks: &[RankUpdate]) -> Self {
-        let character = |number: u64| char::from(ZERO + number.min(MOST) as u8);
-        let loads = ranks.iter().flat_map(|rank| [character(rank.running), character(rank.waiting)]).collect();
-        let is_unusual = |(_, rank): &(usize, &RankUpdate)| rank.pace_permille != USUAL_PACE_PERMILLE;
-        let unusual = ranks.iter().enumerate().filter(is_unusual);
-        let paces = unusual.filter_map(|(at, rank)| Some((u16::try_from(at).ok()?, rank.pace_permille))).collect();
+        let encode = |number: u64| char::from(ZERO + number.min(MAX_LOAD) as u8);
+        let loads = ranks.iter().flat_map(|rank| [encode(rank.running), encode(rank.waiting)]).collect();
+        let has_other_pace = |(_, rank): &(usize, &RankUpdate)| rank.pace_permille != NORMAL_PACE_PERMILLE;
+        let other_paces = ranks.iter().enumerate().filter(has_other_pace);
+        let paces = other_paces.filter_map(|(at, rank)| Some((u16::try_from(at).ok()?, rank.pace_permille))).collect();
         Self { roster: digest_of(ranks.iter().map(|rank| rank.endpoint.as_str())), loads, paces }
     }
 
-    /// Of how many ranks they are.
+    /// Returns the number of ranks.
     #[must_use]
     pub const fn len(&self) -> usize {
-        self.loads.len() / CHARACTERS
+        self.loads.len() / CHARS_PER_RANK
     }
 
-    /// Whether they are of no rank.
+    /// Returns whether there are no ranks.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.loads.is_empty()
     }
 
-    /// The ranks, by the names of the roster; `None` where these are of another one.
+    /// Returns the ranks with the names of a roster; `None` where the loads are of another roster.
     #[must_use]
     pub fn named(&self, names: &[String]) -> Option<Vec<RankUpdate>> {
-        let is_own = digest_of(names.iter().map(String::as_str)) == self.roster && self.len() == names.len();
-        if !is_own {
+        let matches_roster = digest_of(names.iter().map(String::as_str)) == self.roster && self.len() == names.len();
+        if !matches_roster {
             return None;
         }
         let number = |byte: u8| u64::from(byte.saturating_sub(ZERO));
-        let loads = self.loads.as_bytes().chunks_exact(CHARACTERS);
+        let loads = self.loads.as_bytes().chunks_exact(CHARS_PER_RANK);
         let mut ranks: Vec<RankUpdate> = names
             .iter()
             .zip(loads)
@@ -69,7 +69,7 @@
                 endpoint: name.clone(),
                 running: number(load[0]),
                 waiting: number(load[1]),
-                pace_permille: USUAL_PACE_PERMILLE,
+                pace_permille: NORMAL_PACE_PERMILLE,
             })
             .collect();
         for (at, pace_permille) in &self.paces {
@@ -81,7 +81,7 @@
     }
 }
 
-/// A number that differs for other names, and for another order of them.
+/// Returns a digest of names that depends on their order.
 fn digest_of<'a>(names: impl Iterator<Item = &'a str>) -> u64 {
     names.fold(0, |digest, name| hash::mix(digest ^ hash::fnv1a(name.as_bytes())))
 }
--- a/crates/ochreyard-core/src/direct/route_table.rs
+++ b/crates/ochreyard-core/src/direct/route_table.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and whose request it is.
+//! Routes, services and workspaces of one version of the configuration.
 
 mod caller_limits;
 mod cold_limits;
@@ -21,21 +21,21 @@
 pub use self::weighted_service::WeightedService;
 pub use self::workspace::Workspace;
 
-/// One version of the configuration, ready for look-ups.
+/// One version of the configuration, indexed for lookups.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     version: u64,
     routes: HashMap<String, HashMap<String, Arc<Route>>>,
     services: HashMap<String, Arc<ServiceSpec>>,
-    /// The shortest pause between events that a route of each service allows, in milliseconds.
-    pause_aims_ms: HashMap<String, u64>,
+    /// Shortest target for the gap between two stream events among the routes of each service, in milliseconds.
+    target_gaps_ms: HashMap<String, u64>,
     keys: HashMap<String, Arc<Workspace>>,
     needs_key: bool,
     limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// An empty table of this version.
+    /// Creates an empty table of a configuration version.
     #[must_use]
     pub fn new(version: u64) -> Self {
         Self { version, ..Self::default() }
@@ -45,12 +45,12 @@
     #[must_use]
     pub fn with_route(mut self, route: Route) -> Self {
         for weighted in &route.services {
-            let Some(pause_aim_ms) = route.gap_aim_ms else { continue };
-            let shortest_ms = self.pause_aims_ms.entry(weighted.service.clone()).or_insert(pause_aim_ms);
-            *shortest_ms = pause_aim_ms.min(*shortest_ms);
+            let Some(target_gap_ms) = route.gap_aim_ms else { continue };
+            let shortest_ms = self.target_gaps_ms.entry(weighted.service.clone()).or_insert(target_gap_ms);
+            *shortest_ms = target_gap_ms.min(*shortest_ms);
         }
-        let of_host = self.routes.entry(route.host.to_ascii_lowercase()).or_default();
-        of_host.insert(route.path_prefix.clone(), Arc::new(route));
+        let host_routes = self.routes.entry(route.host.to_ascii_lowercase()).or_default();
+        host_routes.insert(route.path_prefix.clone(), Arc::new(route));
         self
     }
 
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Adds a workspace with its keys; from then on requests need a key.
+    /// Adds a workspace with its API keys; requests then need a key, except on public routes.
     #[must_use]
     pub fn with_workspace(mut self, workspace: Workspace, keys: impl IntoIterator<Item = String>) -> Self {
         self.needs_key = true;
@@ -77,51 +77,52 @@
         self
     }
 
-    /// The version.
+    /// Returns the version of the configuration.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// The limits for callers.
+    /// Returns the limits for callers.
     #[must_use]
     pub const fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Whether requests need a key, except on public routes.
+    /// Returns whether requests need an API key, except on public routes.
     #[must_use]
     pub const fn needs_key(&self) -> bool {
         self.needs_key
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// Returns the route of a host with the longest path prefix that matches `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
-        let of_host = self.routes.get(&name)?;
+        let host_routes = self.routes.get(&name)?;
         let slashes = path.bytes().enumerate().rev().filter(|(_, byte)| *byte == b'/');
-        slashes.map(|(at, _)| &path[..=at]).find_map(|prefix| of_host.get(prefix))
+        slashes.map(|(at, _)| &path[..=at]).find_map(|prefix| host_routes.get(prefix))
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that an API key belongs to.
     #[must_use]
     pub fn workspace_of(&self, key: &str) -> Option<&Arc<Workspace>> {
         self.keys.get(key)
     }
 
-    /// The shortest pause between events that a route of a service allows, in milliseconds.
+    /// Returns the shortest target for the gap between two stream events among the routes of a service, in
+    /// milliseconds.
     #[must_use]
     pub fn target_gap_ms(&self, service: &str) -> Option<u64> {
-        self.pause_aims_ms.get(service).copied()
+        self.target_gaps_ms.get(service).copied()
     }
 
-    /// All services.
+    /// Returns all services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<ServiceSpec>> {
         self.services.values()
     }
 
-    /// A service by its name.
+    /// Returns a service by its name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceSpec>> {
         self.services.get(name)
--- a/crates/ochreyard-core/src/direct/route_table/caller_limits.rs
+++ b/crates/ochreyard-core/src/direct/route_table/caller_limits.rs
@@ -2,21 +2,21 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What callers may send, and for how long.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Largest head, in bytes.
+    /// Largest request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a head to arrive, in milliseconds.
+    /// Time for a complete request head to arrive, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Until a configuration names its own: small heads, bodies up to 4 MiB, rests of 15 s.
+    /// Limits until a configuration sets its own: heads up to 16 KiB, bodies up to 4 MiB, 15 s idle.
     fn default() -> Self {
         Self { max_header_bytes: 16_384, max_body_bytes: 4 << 20, header_timeout_ms: 3_000, idle_timeout_ms: 15_000 }
     }
--- a/crates/ochreyard-core/src/direct/route_table/cold_limits.rs
+++ b/crates/ochreyard-core/src/direct/route_table/cold_limits.rs
@@ -1,10 +1,10 @@
-//! What endpoints of a service bear while they are cold.
+//! Limits of the endpoints of a service while they are cold.
 
 use serde::{Deserialize, Serialize};
 
-/// What endpoints of a service bear while they are cold: after their start, or at any other moment.
+/// Limits of the endpoints of a service while they are cold, which they are after a start or at other times.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdLimits {
-    /// Requests a second that a cold endpoint bears, from all boxes together.
+    /// Requests per second that a cold endpoint accepts from all boxes together.
     pub requests_per_s: f64,
 }
--- a/crates/ochreyard-core/src/direct/route_table/engine_spec.rs
+++ b/crates/ochreyard-core/src/direct/route_table/engine_spec.rs
@@ -1,32 +1,32 @@
-//! Figures of the engines of a model service.
+//! Parameters of the engines of a model service.
 
 use serde::{Deserialize, Serialize};
 
-/// What the configuration tells of the engines of a model service.
+/// Parameters of the engines of a model service, from the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, Default)]
 pub struct EngineSpec {
-    /// Requests that one engine runs at once.
+    /// Requests that one engine runs concurrently.
     pub slots: u64,
-    /// Passes for each event of a stream.
+    /// Forward passes per event of a stream.
     pub stride: u64,
-    /// Time of a pass for one token, without the experts' skew, in milliseconds.
+    /// Time of a forward pass for one token with evenly loaded experts, in milliseconds.
     pub step_ms: f64,
-    /// More for each running request, in milliseconds.
+    /// Additional time of a pass per running request, in milliseconds.
     pub per_request_ms: f64,
-    /// Prompt tokens read a second.
+    /// Prompt tokens processed per second.
     pub read_per_s: f64,
-    /// Layer sets that choose experts independently; 0 where there are no groups.
+    /// Number of layer sets that route to experts independently; 0 where there are no groups.
     pub sets: usize,
-    /// Experts of a set.
+    /// Number of experts in a set.
     pub experts: usize,
-    /// Experts that one rank can hold in a set.
+    /// Number of experts of a set that one rank can hold.
     pub places: usize,
-    /// Experts in a set that one change may bring to a rank.
+    /// Number of experts of a set that one map change may add to a rank.
     pub spare: usize,
     /// Size of one expert, in megabytes.
     pub expert_mb: f64,
-    /// Rate at which experts are copied, in megabits a second.
+    /// Rate at which experts are copied, in megabits per second.
     pub link_mbps: f64,
-    /// Share of a pass that experts take.
+    /// Share of the time of a pass that experts take.
     pub expert_share: f64,
 }
--- a/crates/ochreyard-core/src/direct/route_table/route.rs
+++ b/crates/ochreyard-core/src/direct/route_table/route.rs
@@ -9,46 +9,47 @@
 /// One route of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Name, for log lines.
+    /// Name of the route, for log lines.
     pub name: String,
-    /// The host that callers name.
+    /// Host name in the requests of callers.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done again.
+    /// Whether requests of the route may be retried.
     pub kind: RouteKind,
-    /// The longest time that a request is held.
+    /// Longest time until a request is answered, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer is in time.
+    /// Latency target of an answer, in milliseconds.
     pub aim_ms: u64,
-    /// The longest pause between events that is still in time.
+    /// Target for the longest gap between two events of a stream, in milliseconds.
     pub gap_aim_ms: Option<u64>,
-    /// How long its callers hear nothing before they go away, where that is stated.
+    /// How long callers of the route wait without receiving anything before they disconnect, in milliseconds, where
+    /// that is configured.
     pub patience_ms: Option<u64>,
-    /// 0 is the most urgent.
+    /// Priority of the route; 0 is the highest.
     pub priority: u64,
-    /// The services that serve it.
+    /// Services that share the requests of the route.
     pub services: Vec<WeightedService>,
-    /// The most endpoints that one request may be sent to.
+    /// Largest number of endpoints that one request may be sent to.
     pub max_attempts: u64,
-    /// Whether it may be used without a key.
+    /// Whether the route may be used without an API key.
     pub public: bool,
-    /// Where its requests may run.
+    /// Regions in which requests of the route may run.
     #[serde(default, rename = "homes")]
     pub allowed_regions: AllowedRegions,
 }
 
 impl Route {
-    /// The service for a request; `draw` is any evenly spread number.
+    /// Picks the service for a request by weight; `draw` is a uniformly distributed random number.
     #[must_use]
     pub fn service_for(&self, draw: u64) -> Option<&str> {
-        let total: u64 = self.services.iter().map(|entry| entry.weight).sum();
-        let mut rest = draw.checked_rem(total)?;
-        for entry in &self.services {
-            if rest < entry.weight {
-                return Some(&entry.service);
+        let total: u64 = self.services.iter().map(|share| share.weight).sum();
+        let mut remaining = draw.checked_rem(total)?;
+        for share in &self.services {
+            if remaining < share.weight {
+                return Some(&share.service);
             }
-            rest -= entry.weight;
+            remaining -= share.weight;
         }
         None
     }
--- a/crates/ochreyard-core/src/direct/route_table/route_kind.rs
+++ b/crates/ochreyard-core/src/direct/route_table/route_kind.rs
@@ -1,23 +1,23 @@
-//! What may be done again with requests.
+//! Whether requests of a route may be retried.
 
 use serde::{Deserialize, Serialize};
 
-/// What may be done again with requests of a route.
+/// Whether requests of a route may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Repeatable,
-    /// Runs at most once for each attempt of the caller.
+    /// Requests run at most once for each attempt of the caller.
     Once,
-    /// A stream of events; a resumable one may go on at another endpoint.
+    /// Requests are answered by a stream of events; a resumable one may be resumed at another endpoint.
     Stream {
-        /// Whether another run may continue it.
+        /// Whether another run may continue the stream.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     #[must_use]
     pub const fn may_run_again(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
--- a/crates/ochreyard-core/src/direct/route_table/service_spec.rs
+++ b/crates/ochreyard-core/src/direct/route_table/service_spec.rs
@@ -8,13 +8,13 @@
 /// One service of the configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one endpoint accepts from all boxes together.
+    /// Connections that one endpoint of the service accepts from all boxes together.
     pub max_connections: u64,
-    /// Figures of its engines, for model services.
+    /// Parameters of the engines, for model services.
     pub engine: Option<EngineSpec>,
-    /// What its endpoints bear while they are cold, where that is bounded.
+    /// Limits of the endpoints while they are cold, where there are any.
     #[serde(default)]
     pub cold: Option<ColdLimits>,
 }
--- a/crates/ochreyard-core/src/direct/route_table/weighted_service.rs
+++ b/crates/ochreyard-core/src/direct/route_table/weighted_service.rs
@@ -1,12 +1,12 @@
-//! A share of a route.
+//! A service of a route, with its weight.
 
 use serde::{Deserialize, Serialize};
 
-/// One of the services that share a route.
+/// One of the services that share the requests of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its share of the requests, against the sum over the route.
+    /// Weight of the service, relative to the sum of the weights of the route.
     pub weight: u64,
 }
--- a/crates/ochreyard-core/src/direct/route_table/workspace.rs
+++ b/crates/ochreyard-core/src/direct/route_table/workspace.rs
@@ -1,17 +1,17 @@
-//! Whose requests there are.
+//! One workspace of the configuration.
 
 use serde::{Deserialize, Serialize};
 
 use crate::direct::allowed_regions::AllowedRegions;
 
-/// A workspace and its standing.
+/// A workspace with its priority and allowed regions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Goes before the priority of the route, if given.
+    /// Priority that overrides that of the route, if set.
     pub priority: Option<u64>,
-    /// Where its requests may run.
+    /// Regions in which requests of the workspace may run.
     #[serde(default, rename = "homes")]
     pub allowed_regions: AllowedRegions,
 }
--- a/crates/ochreyard-core/src/direct/shared_retry_budget.rs
+++ b/crates/ochreyard-core/src/direct/shared_retry_budget.rs
@@ -1,36 +1,36 @@
-//! How often this box may send a request a second time.
+//! Retry budget of this box, which bounds the retries of all boxes together.
 //!
-//! The budget holds over all boxes together, and no box knows what the others
-//! use at the moment. So each takes a share of the fixed part by the number of
-//! boxes it knows, and a share of its own requests for the rest.
+//! No box knows how many retries the others use at the moment. So each box uses
+//! an equal share of the fixed allowance, by the number of boxes it knows, and a
+//! ratio of its own requests.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Figures of the budget.
+/// Limits of the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetLimits {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats that all boxes together may send in a window beyond the ratio.
+    /// Retries that all boxes together may send in a window beyond the ratio.
     pub fixed: u64,
-    /// Length of the window, in milliseconds.
+    /// Length of the sliding window, in milliseconds.
     pub window_ms: u64,
 }
 
-/// Share of the allowance that is used: the rest covers boxes that are not known
-/// yet and windows that slide between ours.
-const USED_SHARE: f64 = 0.8;
-/// Windows are counted in this many slices.
+/// Share of the allowance that is used. The rest is a margin for boxes that are not known
+/// yet, and for windows that are not aligned with the slices.
+const USABLE_SHARE: f64 = 0.8;
+/// Number of slices that a window is counted in.
 const SLICES: u64 = 20;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Slice {
     number: u64,
     requests: u64,
-    repeats: u64,
+    retries: u64,
 }
 
-/// Counts requests and repeats by service in a sliding window.
+/// Counts requests and retries by service in a sliding window.
 #[derive(Debug, Clone)]
 pub struct SharedRetryBudget {
     limits: RetryBudgetLimits,
@@ -39,7 +39,7 @@
 }
 
 impl SharedRetryBudget {
-    /// A budget that is shared with `boxes` boxes, this one included.
+    /// Creates a budget that is shared by `boxes` boxes, including this one.
     #[must_use]
     pub fn new(limits: RetryBudgetLimits, boxes: u64) -> Self {
         Self { limits, boxes: boxes.max(1), windows: HashMap::new() }
@@ -55,26 +55,26 @@
         self.slice(service, now_ms).requests += 1;
     }
 
-    /// Whether one repeat is left.
+    /// Returns whether a retry is left in the budget.
     #[must_use]
     pub fn has_retry(&self, service: &str, now_ms: u64) -> bool {
         let number = self.slice_number(now_ms);
         let recent = || self.windows.get(service).into_iter().flatten().filter(|s| s.number + SLICES >= number);
         let requests: u64 = recent().map(|slice| slice.requests).sum();
-        let used: u64 = recent().map(|slice| slice.repeats).sum();
+        let used: u64 = recent().map(|slice| slice.retries).sum();
         let fixed = self.limits.fixed as f64 / self.boxes as f64;
-        let allowed = USED_SHARE * (self.limits.ratio * requests as f64 + fixed);
+        let allowed = USABLE_SHARE * (self.limits.ratio * requests as f64 + fixed);
         (used + 1) as f64 <= allowed
     }
 
-    /// Takes one repeat, or says that none is left.
+    /// Takes one retry from the budget. Returns whether one was left.
     #[must_use]
     pub fn try_take(&mut self, service: &str, now_ms: u64) -> bool {
-        let has_one = self.has_retry(service, now_ms);
-        if has_one {
-            self.slice(service, now_ms).repeats += 1;
+        let is_granted = self.has_retry(service, now_ms);
+        if is_granted {
+            self.slice(service, now_ms).retries += 1;
         }
-        has_one
+        is_granted
     }
 
     const fn slice_number(&self, now_ms: u64) -> u64 {
--- a/crates/ochreyard-core/src/direct/waiting.rs
+++ b/crates/ochreyard-core/src/direct/waiting.rs
@@ -1,12 +1,12 @@
-//! Requests that wait at an entry for an endpoint, and which of them may go next.
+//! Requests that wait at an entry for an endpoint, and the order in which they are sent.
 //!
-//! The load that this answers: a group that stands for seconds (a data centre is cut off,
-//! a box is frozen) and then serves again, or a group with more work than places, while
-//! callers go on asking at their usual rate. A second of callers takes a group about as
-//! long to serve as it took them to ask, so a backlog is never made up for while they ask:
-//! whoever goes first takes a place from somebody else. A request that can still be in its
-//! aim is worth several times one that is only late, so those go first. The late ones get
-//! a bounded part of the places, in which they do not hold up those who come next.
+//! Requests wait while a group is stalled for seconds (a data centre is cut off, a box is
+//! frozen) and then serves again, or while a group has more work than slots. Callers keep
+//! sending at their usual rate meanwhile, and a group needs about as long to serve a second
+//! of arrivals as they took to arrive, so a backlog does not drain: each request that is
+//! sent first takes a slot from another one. A request that can still meet its latency
+//! target is worth several times one that is only late, so requests on time go first. Late
+//! requests get a bounded share of the slots, so that they do not delay newer requests.
 
 mod arrival;
 mod decaying_count;
@@ -32,63 +32,63 @@
 
 use super::endpoint_pool::NoPick;
 
-/// How soon a request has to go.
+/// Whether a request can still meet its latency target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// It can still be answered in its aim.
+    /// The request can still be answered within its latency target.
     OnTime,
-    /// It can only be answered late.
+    /// The request can only be answered after its latency target.
     Late,
 }
 
-/// How long callers are held through a wait of known length while nothing is known of their patience, in milliseconds.
-/// They can be told when to come back, and those that expect an answer in half a second wait twice as long at least.
-const UNKNOWN_PATIENCE_MS: u64 = 1_000;
+/// Patience that is assumed for callers of unknown patience where the length of the wait is known, in milliseconds.
+/// A caller can be told when to retry, and one that expects an answer in half a second waits at least twice that long.
+const ASSUMED_PATIENCE_MS: u64 = 1_000;
 
-/// What is known of a request that found no endpoint.
+/// What is known of a request for which no endpoint could be picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitFacts {
-    /// Why it found none.
+    /// Why no endpoint was picked.
     pub no_pick: NoPick,
-    /// Time that it has left, in milliseconds.
+    /// Time left until the deadline of the request, in milliseconds.
     pub left_ms: u64,
-    /// Time that serving it takes, in milliseconds.
+    /// Expected time to serve the request once it is sent, in milliseconds.
     pub needed_ms: u64,
-    /// Whether its service has served anybody here: one that never has may stand for good.
+    /// Whether the service has completed any request of this box; one that never has may be stalled for good.
     pub has_served: bool,
-    /// Whether holding serves as many as sending back, by how tries have ended of late.
+    /// Whether holding requests serves as many of them as sending callers back, judged by recent attempts.
     pub is_worth_it: bool,
-    /// How much longer its service is expected to stand, or until the first pause of an endpoint is over, in
-    /// milliseconds; 0 where it goes on.
+    /// How much longer the service is expected to be stalled, or the time until the first pause of an endpoint ends, in
+    /// milliseconds; 0 where the service is not stalled.
     pub stands_for_ms: u64,
-    /// How long it would wait for room, by what the service takes, in milliseconds; 0 where that is not known.
+    /// Expected wait for a free slot at the present rate of the service, in milliseconds; 0 where the rate is unknown.
     pub queue_ms: u64,
-    /// How long its caller has heard nothing, in milliseconds.
+    /// How long the caller has received nothing, in milliseconds.
     pub silent_ms: u64,
-    /// For how long callers hear nothing before they go away, in milliseconds, where that is known.
+    /// How long callers wait without receiving anything before they disconnect, in milliseconds, where that is known.
     pub patience_ms: Option<u64>,
-    /// Whether its caller has asked before.
+    /// Whether the request is a retry by its caller.
     pub has_come_back: bool,
 }
 
 impl WaitFacts {
-    /// Whether waiting makes sense: an endpoint is expected while the request can still be
-    /// served, and its caller is still there.
+    /// Returns whether the request should wait: an endpoint is expected to be free while the
+    /// request can still be served and its caller is still connected.
     #[must_use]
     pub fn may_wait(&self) -> bool {
         let wait_ms = self.stands_for_ms.max(self.queue_ms);
-        // There may be no turn at all, which is an endless wait.
-        let is_in_time = self.left_ms >= self.needed_ms.saturating_add(wait_ms);
-        let stays = |patience_ms| self.silent_ms.saturating_add(wait_ms) < patience_ms;
-        // How long a group stands is a guess that may be too long; the end of a pause and the turn in a line are known.
+        // Where the request would never get a turn, `wait_ms` is close to `u64::MAX`.
+        let has_time = self.left_ms >= self.needed_ms.saturating_add(wait_ms);
+        let is_patient = |patience_ms| self.silent_ms.saturating_add(wait_ms) < patience_ms;
+        // The expected length of a stall may be too high; the end of a pause and the turn in the queue are known.
         let is_wait_known = self.no_pick != NoPick::Stands && wait_ms > 0;
-        let unknown = is_wait_known.then_some(UNKNOWN_PATIENCE_MS);
-        let is_there = self.patience_ms.or(unknown).is_none_or(stays);
-        let is_hopeful = match self.no_pick {
+        let assumed = is_wait_known.then_some(ASSUMED_PATIENCE_MS);
+        let caller_stays = self.patience_ms.or(assumed).is_none_or(is_patient);
+        let may_get_endpoint = match self.no_pick {
             NoPick::Nobody => false,
             NoPick::Full | NoPick::Limited { .. } | NoPick::Paused { .. } => true,
             NoPick::Stands => self.has_served,
         };
-        is_hopeful && is_in_time && is_there && self.is_worth_it
+        may_get_endpoint && has_time && caller_stays && self.is_worth_it
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
+++ b/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
@@ -1,34 +1,35 @@
-//! When those that wait get their turn where all endpoints of a service name limits.
+//! Turns of waiting requests where all endpoints of a service state rate limits.
 
 use crate::direct::endpoint_pool::LimitUse;
 
-/// How long it counts that this box had used its part, in milliseconds: who is first in line looks several times within it.
-const LIFE_MS: u64 = 50;
+/// How long the turns stay valid after this box has used up its share, in milliseconds: the first request of the queue
+/// asks for an endpoint several times within it.
+const MAX_AGE_MS: u64 = 50;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// The turns that the limits of a service leave to this box.
+/// The turns that the rate limits of a service leave to this box.
 #[derive(Debug, Clone, Copy)]
 pub struct LimitedTurns {
     first_ms: u64,
-    /// `None` where this box has no part of any limit.
+    /// Time between two turns; `None` where this box has no share of any limit.
     interval_ms: Option<u64>,
-    noted_ms: u64,
+    updated_ms: u64,
 }
 
 impl LimitedTurns {
-    /// The next request may go at `first_ms`, and others by this box's part.
-    pub fn new(first_ms: u64, part: LimitUse, now_ms: u64) -> Self {
-        let has_part = part.share_per_s > 0.0;
-        Self { first_ms, interval_ms: has_part.then_some((MS_PER_S / part.share_per_s) as u64), noted_ms: now_ms }
+    /// Creates turns of which the first comes at `first_ms`, and further ones at the rate of this box's share.
+    pub fn new(first_ms: u64, usage: LimitUse, now_ms: u64) -> Self {
+        let has_share = usage.share_per_s > 0.0;
+        Self { first_ms, interval_ms: has_share.then_some((MS_PER_S / usage.share_per_s) as u64), updated_ms: now_ms }
     }
 
-    /// Whether that was noted just now.
+    /// Returns whether the turns are recent enough to be used.
     pub const fn is_recent(&self, now_ms: u64) -> bool {
-        now_ms < self.noted_ms + LIFE_MS
+        now_ms < self.updated_ms + MAX_AGE_MS
     }
 
-    /// When a request may go that has so many before it.
+    /// Returns when a request may be sent that has `ahead` others before it.
     pub fn turn_ms(&self, ahead: usize) -> u64 {
         let after_first_ms = self.interval_ms.map_or(u64::MAX, |interval_ms| interval_ms.saturating_mul(ahead as u64));
         if ahead == 0 { self.first_ms } else { self.first_ms.saturating_add(after_first_ms) }
--- a/crates/ochreyard-core/src/direct/waiting/patience.rs
+++ b/crates/ochreyard-core/src/direct/waiting/patience.rs
@@ -1,45 +1,46 @@
-//! How long callers wait for the start of an answer before they go away.
+//! How long callers wait without receiving anything before they disconnect.
 
 use std::collections::VecDeque;
 
-/// Waits that are remembered: a stand of a few seconds brings as many to one entry.
-const REMEMBERED: usize = 32;
-/// Waits from which the median says something.
-const LEAST_KNOWN: usize = 6;
-/// Shorter waits say nothing: callers go away for other reasons, too, at any moment.
-const LEAST_WAIT_MS: u64 = 250;
-/// Share of the usual patience for which a request is held: its answer has to arrive in time.
+/// Number of waits that are kept: a stall of a few seconds brings as many to one entry.
+const MAX_SAMPLES: usize = 32;
+/// Number of waits from which the median is used.
+const MIN_SAMPLES: usize = 6;
+/// Shorter waits are ignored: callers also disconnect for other reasons at any time.
+const MIN_WAIT_MS: u64 = 250;
+/// Share of the patience for which a request is held, so that the answer reaches the caller before it disconnects.
 const HELD_SHARE: f64 = 0.93;
 
-/// The silences after which callers of a service went away of late: what they heard last is what their patience
-/// counts from, be it a wait here, an endpoint that says nothing, or a stream that has stopped. Counted from the
-/// start of the wait here, streams that had stood for 1.5 s before made it 0.4 s in place of 2 s.
+/// How long callers of a service had received nothing when they recently disconnected. Patience counts from the last
+/// byte that a caller received, whether it waits at this entry, for an endpoint that sends nothing, or for a stream
+/// that has stalled. Counted from the start of the wait here, streams that had stalled for 1.5 s before made the
+/// patience 0.4 s instead of 2 s.
 ///
-/// A caller that goes away unanswered has lost the time that it waited, and often its last try.
-/// Told just before when to come back, it comes back once a stand is over: of callers that give
-/// 8 s and wait for 2 s, one that came at the start of a stand of 6 s is then still there at its end.
+/// A caller that disconnects unanswered has lost the time that it waited, and often its last attempt. If it is told
+/// shortly before that when to retry, its retry comes after the stall: of callers with a timeout of 8 s and a patience
+/// of 2 s, one that sent its request at the start of a stall of 6 s can then still be served at its end.
 #[derive(Debug, Clone, Default)]
 pub struct Patience {
     waits_ms: VecDeque<u64>,
 }
 
 impl Patience {
-    /// A caller that waited here went away after it had heard nothing for so long.
+    /// Records that a waiting caller disconnected after it had received nothing for `silent_ms`.
     pub fn record_abandonment(&mut self, silent_ms: u64) {
-        if silent_ms < LEAST_WAIT_MS {
+        if silent_ms < MIN_WAIT_MS {
             return;
         }
-        if self.waits_ms.len() == REMEMBERED {
+        if self.waits_ms.len() == MAX_SAMPLES {
             self.waits_ms.pop_front();
         }
         self.waits_ms.push_back(silent_ms);
     }
 
-    /// The longest time for which a request should wait, in milliseconds; `None` while too
-    /// little is known.
+    /// Returns the longest silence up to which a request should be held, in milliseconds; `None`
+    /// while fewer than [`MIN_SAMPLES`] waits are known.
     #[must_use]
     pub fn hold_limit_ms(&self) -> Option<u64> {
-        if self.waits_ms.len() < LEAST_KNOWN {
+        if self.waits_ms.len() < MIN_SAMPLES {
             return None;
         }
         let mut sorted: Vec<u64> = self.waits_ms.iter().copied().collect();
@@ -47,7 +48,7 @@
         Some(Self::hold_limit_for(sorted[sorted.len() / 2]))
     }
 
-    /// How long a request is held whose caller hears nothing for `patience_ms` at the most, in milliseconds.
+    /// Returns how long a request is held whose caller waits `patience_ms` without receiving anything, in milliseconds.
     #[must_use]
     pub fn hold_limit_for(patience_ms: u64) -> u64 {
         (patience_ms as f64 * HELD_SHARE) as u64
--- a/crates/ochreyard-core/src/direct/waiting/service_queue.rs
+++ b/crates/ochreyard-core/src/direct/waiting/service_queue.rs
@@ -1,70 +1,70 @@
-//! What an entry knows of the requests for one service: who waits, how long serving takes,
-//! whether the service stands.
+//! State of an entry for the requests of one service: which wait, how long serving takes,
+//! whether the service is stalled.
 
 use std::collections::HashMap;
 
 use super::limited_turns::LimitedTurns;
 use super::{Arrival, Overload, Patience, ServiceTime, StallHistory, StallOutcomes, Ticket, Urgency, WaitQueue};
 
-/// A caller with less of its usual time than this share has asked before: who is sent back
-/// returns with two thirds of what was left, and budgets of first tries differ by less.
-const RETURNED_SHARE: f64 = 0.8;
-/// Share of its aim within which a request must be sent to be answered in its aim: the first
-/// event takes nearly half of it.
-const IN_AIM_SHARE: f64 = 0.5;
-/// Share of this box's part of all slots that requests may hold which were late when they
-/// were sent. With 0.6 a group that had just come back ran 270 requests in 630 places while
-/// those that waited for it ran out of time; with 1.0 nothing would be left for callers to come.
+/// A request with a timeout below this share of the longest one is a retry of its caller: a caller that was sent back
+/// retries with two thirds of the time it had left, and timeouts of first attempts differ by less.
+const RETRY_TIMEOUT_SHARE: f64 = 0.8;
+/// Share of the latency target within which a request must be sent to meet the target: the first event takes nearly
+/// half of it.
+const ON_TIME_SEND_SHARE: f64 = 0.5;
+/// Share of this box's slots that may be held by requests that were late when they were sent. With 0.6 a group that had
+/// just recovered ran 270 requests in 630 slots while waiting requests timed out; with 1.0 no slot would be left for
+/// new requests.
 const LATE_SHARE: f64 = 0.8;
-/// Late requests that a box may have there in any case: where boxes outnumber slots.
-const LEAST_LATE: u64 = 2;
+/// Late requests that a box may always have in flight, for services with fewer slots than boxes.
+const MIN_LATE: u64 = 2;
 
 /// The requests of one service at this entry.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceQueue {
-    /// Those that wait.
+    /// Requests that wait.
     pub wait_queue: WaitQueue,
-    /// How long serving takes.
+    /// Time that serving a request takes.
     pub service_time: ServiceTime,
-    /// Whether the service stands.
+    /// Present and past stalls of the service.
     pub stalls: StallHistory,
-    /// How long callers wait.
+    /// How long callers wait before they disconnect.
     pub patience: Patience,
-    /// What the service takes while it has no room.
+    /// Rate at which the service accepts late requests while it is full.
     pub overload: Overload,
-    /// How tries that met a standing service have ended.
+    /// Outcomes of requests that met a stalled service.
     pub stall_outcomes: StallOutcomes,
-    /// The turns that are left where all endpoints name limits.
-    pub(super) limited: Option<LimitedTurns>,
-    /// The longest time that callers of each route have given it.
-    usual_ms: HashMap<String, u64>,
+    /// Turns that rate limits leave to this box where all endpoints state limits.
+    pub(super) limited_turns: Option<LimitedTurns>,
+    /// Longest timeout of a request by route.
+    longest_timeout_ms: HashMap<String, u64>,
 }
 
 impl ServiceQueue {
-    /// A request arrives, with the time that its caller gives it. Its aim counts from its
-    /// caller's first try; one that comes back has less time left than is usual.
-    pub fn on_arrival(&mut self, route: &str, aim_ms: u64, given_ms: u64, now_ms: u64) -> Arrival {
-        if !self.usual_ms.contains_key(route) {
-            self.usual_ms.insert(route.to_owned(), 0);
+    /// Classifies an arriving request by the timeout that its caller gave it. The latency target counts from the first
+    /// attempt of the caller; a retry has less time left than usual.
+    pub fn on_arrival(&mut self, route: &str, aim_ms: u64, timeout_ms: u64, now_ms: u64) -> Arrival {
+        if !self.longest_timeout_ms.contains_key(route) {
+            self.longest_timeout_ms.insert(route.to_owned(), 0);
         }
-        let usual_ms = self.usual_ms.get_mut(route).expect("inserted above");
-        *usual_ms = (*usual_ms).max(given_ms);
-        let is_caller_retry = (given_ms as f64) < *usual_ms as f64 * RETURNED_SHARE;
-        let in_aim_ms = if is_caller_retry { 0.0 } else { aim_ms as f64 * IN_AIM_SHARE };
-        Arrival { on_time_until_ms: now_ms + in_aim_ms as u64, is_caller_retry }
+        let longest_timeout_ms = self.longest_timeout_ms.get_mut(route).expect("inserted above");
+        *longest_timeout_ms = (*longest_timeout_ms).max(timeout_ms);
+        let is_caller_retry = (timeout_ms as f64) < *longest_timeout_ms as f64 * RETRY_TIMEOUT_SHARE;
+        let on_time_ms = if is_caller_retry { 0.0 } else { aim_ms as f64 * ON_TIME_SEND_SHARE };
+        Arrival { on_time_until_ms: now_ms + on_time_ms as u64, is_caller_retry }
     }
 
-    /// Whether a request may go now, as far as others that wait here are concerned.
-    pub(super) fn is_turn_of(&self, ticket: Option<Ticket>, urgency: Urgency, now_ms: u64) -> bool {
+    /// Returns whether no waiting request goes before this one.
+    pub(super) fn may_go_now(&self, ticket: Option<Ticket>, urgency: Urgency, now_ms: u64) -> bool {
         match ticket {
             Some(ticket) => self.wait_queue.is_next(ticket, now_ms),
             None => self.wait_queue.may_overtake(urgency, now_ms),
         }
     }
 
-    /// Late requests that this box may have at the endpoints, of `slots` that `boxes` share.
+    /// Returns how many late requests this box may have in flight, of `slots` that `boxes` boxes share.
     #[must_use]
     pub fn max_late_in_flight(slots: u64, boxes: u64) -> u64 {
-        ((slots as f64 * LATE_SHARE / boxes.max(1) as f64).ceil() as u64).max(LEAST_LATE)
+        ((slots as f64 * LATE_SHARE / boxes.max(1) as f64).ceil() as u64).max(MIN_LATE)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/stall_history.rs
+++ b/crates/ochreyard-core/src/direct/waiting/stall_history.rs
@@ -1,36 +1,36 @@
-//! How long a service stands, and how much longer it is expected to.
+//! Present and past stalls of a service, and how much longer a stall is expected to last.
 
 use std::collections::VecDeque;
 
-/// What a stand is expected to last beyond its present age, as a share of that age. It says
-/// how long one that never ends makes callers wait: those that give 8 s and are served within
-/// 2 s wait in its first 24 s, each as long as callers usually do, and are told at once from
-/// then on. With 0.5 callers in the last seconds of a stand of 6 s, back with half of their
-/// time left, were refused for good.
-const REST_SHARE: f64 = 0.25;
-/// Stands that are remembered.
-const REMEMBERED: usize = 4;
-/// Stands from which their usual length says something: one alone may have had another cause.
-const LEAST_KNOWN: usize = 2;
-/// How long a stand is remembered, in milliseconds: what makes a service stand again and again
-/// does so within seconds.
-const REMEMBERED_MS: u64 = 30_000;
-/// Pauses shorter than this belong to the stand around them, in milliseconds: news of a group
-/// come that often.
-const LEAST_PAUSE_MS: u64 = 300;
+/// Expected remaining length of a stall as a share of its present age. It bounds how long callers
+/// wait in a stall that never ends: those with a timeout of 8 s that are served within 2 s wait
+/// during its first 24 s, each for as long as callers usually wait, and are refused at once from
+/// then on. With 0.5 callers in the last seconds of a stall of 6 s that retried with half of their
+/// time left were refused for good.
+const REMAINING_SHARE: f64 = 0.25;
+/// Number of past stalls that are kept.
+const MAX_STALLS: usize = 4;
+/// Number of past stalls from which their median length is used: a single one may have had another cause.
+const MIN_STALLS: usize = 2;
+/// How long a past stall counts, in milliseconds: stalls that recur for one cause do so within
+/// seconds.
+const MAX_AGE_MS: u64 = 30_000;
+/// Shorter gaps between two stalls are part of one stall, in milliseconds: updates of a group
+/// arrive at about this interval.
+const MIN_GAP_MS: u64 = 300;
 
-/// The stands of one service, as seen from here.
+/// The stalls of one service, as this box has seen them.
 #[derive(Debug, Clone, Default)]
 pub struct StallHistory {
     since_ms: Option<u64>,
-    /// The last stands that are over: when each began and ended.
+    /// Start and end of each of the last stalls that are over, in milliseconds.
     past: VecDeque<(u64, u64)>,
 }
 
 impl StallHistory {
-    /// Notes whether the service stands now.
-    pub fn record(&mut self, stands: bool, now_ms: u64) {
-        match (stands, self.since_ms) {
+    /// Records whether the service is stalled now.
+    pub fn record(&mut self, is_stalled: bool, now_ms: u64) {
+        match (is_stalled, self.since_ms) {
             (true, None) => self.begin(now_ms),
             (false, Some(since_ms)) => self.end(since_ms, now_ms),
             _ => {}
@@ -38,40 +38,40 @@
     }
 
     fn begin(&mut self, now_ms: u64) {
-        let goes_on = self.past.back().is_some_and(|(_, ended_ms)| now_ms < ended_ms + LEAST_PAUSE_MS);
-        let resumed_ms = if goes_on { self.past.pop_back().map(|(began_ms, _)| began_ms) } else { None };
-        self.since_ms = Some(resumed_ms.unwrap_or(now_ms));
+        let is_same_stall = self.past.back().is_some_and(|(_, ended_ms)| now_ms < ended_ms + MIN_GAP_MS);
+        let earlier_start_ms = if is_same_stall { self.past.pop_back().map(|(began_ms, _)| began_ms) } else { None };
+        self.since_ms = Some(earlier_start_ms.unwrap_or(now_ms));
     }
 
     fn end(&mut self, since_ms: u64, now_ms: u64) {
         self.since_ms = None;
         self.past.push_back((since_ms, now_ms));
-        if self.past.len() > REMEMBERED {
+        if self.past.len() > MAX_STALLS {
             self.past.pop_front();
         }
     }
 
-    /// Whether another stand was over a short time ago.
+    /// Returns whether another stall ended recently.
     #[must_use]
     pub fn has_recent(&self, now_ms: u64) -> bool {
-        self.past.iter().any(|(_, ended_ms)| now_ms < ended_ms + REMEMBERED_MS)
+        self.past.iter().any(|(_, ended_ms)| now_ms < ended_ms + MAX_AGE_MS)
     }
 
-    /// How long stands have lasted of late, in milliseconds; `None` unless they recur.
+    /// Returns the median length of recent stalls, in milliseconds; `None` unless they recur.
     #[must_use]
     pub fn median_ms(&self, now_ms: u64) -> Option<u64> {
-        let recent = self.past.iter().filter(|(_, ended_ms)| now_ms < ended_ms + REMEMBERED_MS);
+        let recent = self.past.iter().filter(|(_, ended_ms)| now_ms < ended_ms + MAX_AGE_MS);
         let mut lengths_ms: Vec<u64> = recent.map(|(began_ms, ended_ms)| ended_ms - began_ms).collect();
         lengths_ms.sort_unstable();
-        (lengths_ms.len() >= LEAST_KNOWN).then(|| lengths_ms[lengths_ms.len() / 2])
+        (lengths_ms.len() >= MIN_STALLS).then(|| lengths_ms[lengths_ms.len() / 2])
     }
 
-    /// How much longer it is expected to stand, in milliseconds; 0 where it goes on.
+    /// Returns how much longer the present stall is expected to last, in milliseconds; 0 where there is none.
     #[must_use]
     pub fn expected_remaining_ms(&self, now_ms: u64) -> u64 {
         let Some(since_ms) = self.since_ms else { return 0 };
         let age_ms = now_ms.saturating_sub(since_ms);
-        let usual_rest_ms = self.median_ms(now_ms).map_or(0, |usual_ms| usual_ms.saturating_sub(age_ms));
-        usual_rest_ms.max((age_ms as f64 * REST_SHARE) as u64)
+        let median_remaining_ms = self.median_ms(now_ms).map_or(0, |median_ms| median_ms.saturating_sub(age_ms));
+        median_remaining_ms.max((age_ms as f64 * REMAINING_SHARE) as u64)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/stall_outcomes.rs
+++ b/crates/ochreyard-core/src/direct/waiting/stall_outcomes.rs
@@ -1,19 +1,21 @@
-//! How tries have ended of late, so that holding stops where it serves fewer than sending back.
+//! Outcomes of recent requests that met a stalled service, so that an entry stops holding requests where that serves
+//! fewer of them than sending callers back.
 
 use super::decaying_count::DecayingCount;
 
-/// The time in which a try loses most of its weight, in milliseconds: a few stands that recur within seconds
-/// count together, and holding is tried anew some time after they have ceased.
-const FADE_MS: f64 = 15_000.0;
-/// Weight from which tries say something.
-const LEAST_KNOWN: f64 = 8.0;
+/// Decay time of a request in the shares, in milliseconds: a few stalls that recur within seconds count together, and
+/// requests are held again some time after the stalls have ended.
+const DECAY_MS: f64 = 15_000.0;
+/// Decayed number of requests from which a share is used.
+const MIN_WEIGHT: f64 = 8.0;
 
-/// Share of held tries that have to be served for others to be held. Those that are not have cost their callers
-/// the wait, and others the places that they took at the return: with seven stands of 2.6 s, 4 s apart, comparing with
-/// those that were sent back alone served .49 of all requests, this .54, and holding none .56.
-const LEAST_HELD: f64 = 0.5;
+/// Share of held requests that must be served for further requests to be held. A held request that is not served has
+/// cost its caller the wait, and other requests the slot that it took when the service recovered. With seven stalls of
+/// 2.6 s, 4 s apart, .49 of all requests were served without this minimum (comparing only with callers that were sent
+/// back), .54 with it, and .56 with no request held.
+const MIN_HELD_SHARE: f64 = 0.5;
 
-/// The share of tries that were served, the last ones weighing most.
+/// The share of requests that were served, weighted towards recent ones.
 #[derive(Debug, Clone, Copy)]
 struct ServedShare {
     served: DecayingCount,
@@ -22,7 +24,7 @@
 
 impl Default for ServedShare {
     fn default() -> Self {
-        Self { served: DecayingCount::new(FADE_MS), all: DecayingCount::new(FADE_MS) }
+        Self { served: DecayingCount::new(DECAY_MS), all: DecayingCount::new(DECAY_MS) }
     }
 }
 
@@ -36,20 +38,20 @@
 
     fn share(&self, now_ms: u64) -> Option<f64> {
         let all = self.all.at(now_ms);
-        (all >= LEAST_KNOWN).then(|| self.served.at(now_ms) / all)
+        (all >= MIN_WEIGHT).then(|| self.served.at(now_ms) / all)
     }
 }
 
-/// How a try met a service that stood.
+/// How a request that met a stalled service was handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StallHandling {
-    /// It was held until the service went on, or until it was given up.
+    /// The request was held until the service resumed, or until it was given up.
     Held,
-    /// Its caller had been sent back, and came again.
+    /// The request is the retry of a caller that had been sent back.
     CallerRetried,
 }
 
-/// How tries that met a standing service have ended, by what was done with them.
+/// Shares of requests served after they met a stalled service, by how they were handled.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallOutcomes {
     held: ServedShare,
@@ -57,19 +59,20 @@
 }
 
 impl StallOutcomes {
-    /// A try has ended: served whole, or in any other way (cut, refused, its caller gone).
-    pub fn record(&mut self, met: StallHandling, is_served: bool, now_ms: u64) {
-        match met {
+    /// Records the end of a request: served completely, or not (cut off, refused, caller gone).
+    pub fn record(&mut self, handling: StallHandling, is_served: bool, now_ms: u64) {
+        match handling {
             StallHandling::Held => self.held.record(is_served, now_ms),
             StallHandling::CallerRetried => self.sent_back.record(is_served, now_ms),
         }
     }
 
-    /// Whether holding serves most of those that are held, and as many as sending back, as far as known.
+    /// Returns whether at least [`MIN_HELD_SHARE`] of the held requests are served, and no smaller share than of
+    /// callers that were sent back, as far as known.
     #[must_use]
     pub fn is_holding_worth_it(&self, now_ms: u64) -> bool {
         let Some(held) = self.held.share(now_ms) else { return true };
         let sent_back = self.sent_back.share(now_ms).unwrap_or(0.0);
-        held >= sent_back.max(LEAST_HELD)
+        held >= sent_back.max(MIN_HELD_SHARE)
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/wait_queue.rs
+++ b/crates/ochreyard-core/src/direct/waiting/wait_queue.rs
@@ -1,8 +1,8 @@
-//! The requests of one service that wait here, in the order in which they may go.
+//! The requests of one service that wait at this entry, and the order in which they are sent.
 
 use super::Urgency;
 
-/// The place of one request in a line.
+/// Identifies one request in a wait queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ticket(u64);
 
@@ -18,56 +18,56 @@
         if now_ms < self.on_time_until_ms { Urgency::OnTime } else { Urgency::Late }
     }
 
-    /// Smaller goes first: those in their aim, then those with the least time left.
+    /// Sort key, lowest first: requests on time before late ones, then by the earliest deadline.
     const fn order(&self, now_ms: u64) -> (bool, u64, u64) {
         (matches!(self.urgency(now_ms), Urgency::Late), self.deadline_ms, self.ticket.0)
     }
 }
 
-/// The requests of one service that wait here.
+/// The requests of one service that wait at this entry.
 #[derive(Debug, Clone, Default)]
 pub struct WaitQueue {
     waiters: Vec<Waiter>,
-    joined: u64,
+    next_ticket: u64,
 }
 
 impl WaitQueue {
-    /// A request waits from now on; it can be in its aim if it goes before `on_time_until_ms`.
+    /// Adds a request, which can meet its latency target if it is sent before `on_time_until_ms`.
     pub fn join(&mut self, on_time_until_ms: u64, deadline_ms: u64) -> Ticket {
-        let ticket = Ticket(self.joined);
-        self.joined += 1;
+        let ticket = Ticket(self.next_ticket);
+        self.next_ticket += 1;
         self.waiters.push(Waiter { ticket, on_time_until_ms, deadline_ms });
         ticket
     }
 
-    /// A request no longer waits.
+    /// Removes a request.
     pub fn leave(&mut self, ticket: Ticket) {
         self.waiters.retain(|waiter| waiter.ticket != ticket);
     }
 
-    /// How many wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.waiters.len()
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// Whether a request that does not wait yet may go before all that do.
+    /// Returns whether a new request may be sent before all that wait.
     #[must_use]
     pub fn may_overtake(&self, urgency: Urgency, now_ms: u64) -> bool {
-        let is_in_aim = |waiter: &Waiter| waiter.urgency(now_ms) == Urgency::OnTime;
+        let is_on_time = |waiter: &Waiter| waiter.urgency(now_ms) == Urgency::OnTime;
         match urgency {
-            Urgency::OnTime => !self.waiters.iter().any(is_in_aim),
+            Urgency::OnTime => !self.waiters.iter().any(is_on_time),
             Urgency::Late => self.waiters.is_empty(),
         }
     }
 
-    /// How many late ones go before a late request that has `ticket`, or has none yet.
+    /// Returns how many late requests go before a late request that has `ticket`, or has none yet.
     #[must_use]
     pub fn late_ahead(&self, ticket: Option<Ticket>, deadline_ms: u64, now_ms: u64) -> usize {
         let own = (deadline_ms, ticket.map_or(u64::MAX, |ticket| ticket.0));
@@ -75,14 +75,14 @@
         self.waiters.iter().filter(|waiter| waiter.urgency(now_ms) == Urgency::Late).filter(is_ahead).count()
     }
 
-    /// How many go before a request that has `ticket`, or has none yet.
+    /// Returns how many requests go before one that has `ticket`, or has none yet.
     #[must_use]
     pub fn ahead(&self, ticket: Option<Ticket>, urgency: Urgency, deadline_ms: u64, now_ms: u64) -> usize {
         let own = (urgency == Urgency::Late, deadline_ms, ticket.map_or(u64::MAX, |ticket| ticket.0));
         self.waiters.iter().filter(|waiter| waiter.order(now_ms) < own).count()
     }
 
-    /// Whether no other waiting request goes before this one.
+    /// Returns whether no other waiting request goes before this one.
     #[must_use]
     pub fn is_next(&self, ticket: Ticket, now_ms: u64) -> bool {
         let first = self.waiters.iter().min_by_key(|waiter| waiter.order(now_ms));
