--- a/crates/ochreyard-core/src/direct.rs
+++ b/crates/ochreyard-core/src/direct.rs
@@ -33,19 +33,23 @@
 pub use box_record::BoxRecord;
 pub use catalog::{Catalog, EndpointChange};
 pub use endpoint_incarnation::EndpointIncarnation;
-pub use endpoint_pool::{Asking, EndpointPool, LimitUse, NoPick, Notice, Outcome, Pick, ReportedLoad, UnledGroups};
+pub use endpoint_pool::{
+    AttemptOutcome, AvailabilityNotice, EndpointPool, LeaderlessGroups, LimitUsage, Pick, PickError, ReportedLoad,
+    UnavailableCounts,
+};
 pub use endpoint_record::EndpointRecord;
-pub use endpoint_signals::{EndpointSignals, backoff_ms};
+pub use endpoint_signals::{EndpointSignals, parse_backoff_ms};
 pub use evacuation::{EvacuationUpdate, Evacuations};
 pub use event_splitter::{CompleteEvents, EventSplitter};
-pub use fingerprint::{Fingerprint, NoFingerprint};
+pub use fingerprint::{Fingerprint, ParseFingerprintError};
 pub use group_update::{GroupUpdate, RankUpdate, ReporterRole};
 pub use log_progress::LogProgress;
 pub use log_retry_backoff::LogRetryBackoff;
 pub use poll_schedule::{PollSchedule, PollTargets};
 pub use position::{ParsePositionError, Position};
 pub use quarantine::{
-    Clearance, ClearedNews, CrashNews, Judged, LostRequest, Quarantine, QuarantineNews, TrialNews, VerdictNews,
+    ClearedRequest, CrashReport, LostRequest, Quarantine, QuarantineDecision, QuarantineEntry, QuarantineUpdate,
+    QuarantinedRequest, RunningTrial,
 };
 pub use read_role::{LocalBox, ReadRole, broadcasts_to_data_centre, broadcasts_to_fleet};
 pub use roster_loads::RosterLoads;
@@ -53,7 +57,8 @@
     CallerLimits, ColdLimits, EngineSpec, Route, RouteKind, RouteTable, ServiceSpec, WeightedService, Workspace,
 };
 pub use shared_limit::{
-    DealtPart, LimitNews, LimitWord, Place, Quota, RequestRate, SharedLimit, Sharers, ToldLimit, limit,
+    EndpointLimit, LimitUpdate, Quota, QuotaShare, ReportedLimit, RequestRate, ShareRank, SharedLimit, SharingBoxes,
+    parse_limit,
 };
 pub use shared_retry_budget::{RetryBudgetLimits, SharedRetryBudget};
 pub use waiting::{
--- a/crates/ochreyard-core/src/direct/waiting.rs
+++ b/crates/ochreyard-core/src/direct/waiting.rs
@@ -30,7 +30,7 @@
 pub use stall_outcomes::{StallHandling, StallOutcomes};
 pub use wait_queue::{Ticket, WaitQueue};
 
-use super::endpoint_pool::NoPick;
+use super::endpoint_pool::PickError;
 
 /// Whether a request can still meet its latency target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitFacts {
     /// Why no endpoint was picked.
-    pub no_pick: NoPick,
+    pub no_pick: PickError,
     /// Time left until the deadline of the request, in milliseconds.
     pub left_ms: u64,
     /// Expected time to serve the request once it is sent, in milliseconds.
@@ -81,13 +81,13 @@
         let has_time = self.left_ms >= self.needed_ms.saturating_add(wait_ms);
         let is_patient = |patience_ms| self.silent_ms.saturating_add(wait_ms) < patience_ms;
         // The expected length of a stall may be too high; the end of a pause and the turn in the queue are known.
-        let is_wait_known = self.no_pick != NoPick::Stands && wait_ms > 0;
+        let is_wait_known = self.no_pick != PickError::Stands && wait_ms > 0;
         let assumed = is_wait_known.then_some(ASSUMED_PATIENCE_MS);
         let caller_stays = self.patience_ms.or(assumed).is_none_or(is_patient);
         let may_get_endpoint = match self.no_pick {
-            NoPick::Nobody => false,
-            NoPick::Full | NoPick::Limited { .. } | NoPick::Paused { .. } => true,
-            NoPick::Stands => self.has_served,
+            PickError::Nobody => false,
+            PickError::Full | PickError::Limited { .. } | PickError::Paused { .. } => true,
+            PickError::Stands => self.has_served,
         };
         may_get_endpoint && has_time && caller_stays && self.is_worth_it
     }
--- a/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
+++ b/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
@@ -4,7 +4,7 @@
 use super::{Arrival, Patience, ServiceQueue, Ticket, Urgency, WaitFacts};
 use crate::direct::allowed_regions::AllowedRegions;
 use crate::direct::endpoint_incarnation::EndpointIncarnation;
-use crate::direct::endpoint_pool::{EndpointPool, NoPick, Pick};
+use crate::direct::endpoint_pool::{EndpointPool, Pick, PickError};
 
 /// A request that needs an endpoint.
 #[derive(Debug, Clone, Copy)]
@@ -71,7 +71,7 @@
         self.stalls.record(is_down, now_ms);
         if is_down {
             self.overload.reset();
-        } else if no_pick == NoPick::Full {
+        } else if no_pick == PickError::Full {
             self.overload.on_full(now_ms);
         }
         let facts = WaitFacts {
@@ -81,14 +81,14 @@
             has_served: self.service_time.estimate_after_wait_ms().is_some(),
             is_worth_it: !is_down || request.ticket.is_some() || self.is_holding_worth_it(now_ms),
             stands_for_ms: match no_pick {
-                NoPick::Paused { until_ms } => until_ms.saturating_sub(now_ms),
+                PickError::Paused { until_ms } => until_ms.saturating_sub(now_ms),
                 // A request that waits already was admitted by the estimate of that time.
                 _ if request.ticket.is_some() => 0,
                 _ => self.stalls.expected_remaining_ms(now_ms),
             },
             queue_ms: match no_pick {
-                NoPick::Full => self.queue_ms(request, now_ms),
-                NoPick::Limited { until_ms } => until_ms.saturating_sub(now_ms),
+                PickError::Full => self.queue_ms(request, now_ms),
+                PickError::Limited { until_ms } => until_ms.saturating_sub(now_ms),
                 _ => 0,
             },
             silent_ms: now_ms.saturating_sub(request.silent_since_ms),
@@ -102,19 +102,19 @@
     /// no turn now.
     fn turn_under_limits(
         &mut self,
-        no_pick: NoPick,
+        no_pick: PickError,
         pool: &EndpointPool,
         request: &PendingRequest,
         now_ms: u64,
-    ) -> NoPick {
-        if let NoPick::Limited { until_ms } = no_pick {
-            self.limited_turns = Some(LimitedTurns::new(until_ms, pool.limit_use(request.service, now_ms), now_ms));
+    ) -> PickError {
+        if let PickError::Limited { until_ms } = no_pick {
+            self.limited_turns = Some(LimitedTurns::new(until_ms, pool.limit_usage(request.service, now_ms), now_ms));
         }
         let turns = self.limited_turns.filter(|turns| turns.is_recent(now_ms));
         match (no_pick, turns) {
-            (NoPick::Full | NoPick::Limited { .. }, Some(turns)) => {
+            (PickError::Full | PickError::Limited { .. }, Some(turns)) => {
                 let ahead = self.wait_queue.ahead(request.ticket, request.urgency(now_ms), request.deadline_ms, now_ms);
-                NoPick::Limited { until_ms: turns.turn_ms(ahead) }
+                PickError::Limited { until_ms: turns.turn_ms(ahead) }
             }
             (no_pick, _) => no_pick,
         }
@@ -147,14 +147,14 @@
         request: &PendingRequest,
         draw: u64,
         now_ms: u64,
-    ) -> Result<Pick, NoPick> {
+    ) -> Result<Pick, PickError> {
         let urgency = request.urgency(now_ms);
         if !self.may_go_now(request.ticket, urgency, now_ms) {
-            return Err(NoPick::Full);
+            return Err(PickError::Full);
         }
-        let pick = pool.pick_within(request.allowed_regions, request.service, request.tried, urgency, draw, now_ms)?;
+        let pick = pool.pick_in_regions(request.allowed_regions, request.service, request.tried, urgency, draw, now_ms)?;
         let has_no_late_slot = urgency == Urgency::Late
             && pool.late_in_flight(request.service) >= Self::max_late_in_flight(pool.slots(request.service), boxes);
-        if has_no_late_slot { Err(NoPick::Full) } else { Ok(pick) }
+        if has_no_late_slot { Err(PickError::Full) } else { Ok(pick) }
     }
 }
--- a/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
+++ b/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
@@ -1,6 +1,6 @@
 //! Turns of waiting requests where all endpoints of a service state rate limits.
 
-use crate::direct::endpoint_pool::LimitUse;
+use crate::direct::endpoint_pool::LimitUsage;
 
 /// How long the turns stay valid after this box has used up its share, in milliseconds: the first request of the queue
 /// asks for an endpoint several times within it.
@@ -19,7 +19,7 @@
 
 impl LimitedTurns {
     /// Creates turns of which the first comes at `first_ms`, and further ones at the rate of this box's share.
-    pub fn new(first_ms: u64, usage: LimitUse, now_ms: u64) -> Self {
+    pub fn new(first_ms: u64, usage: LimitUsage, now_ms: u64) -> Self {
         let has_share = usage.share_per_s > 0.0;
         Self { first_ms, interval_ms: has_share.then_some((MS_PER_S / usage.share_per_s) as u64), updated_ms: now_ms }
     }
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 use http::{HeaderValue, Response};
 use http_body_util::BodyExt;
-use ochreyard_core::direct::{EventSplitter, Outcome, Pick, RouteKind};
+use ochreyard_core::direct::{AttemptOutcome, EventSplitter, Pick, RouteKind};
 
 use crate::answer::{Answer, pass_on};
 use crate::answer_body::{AnswerBody, BrokenOff};
@@ -25,7 +25,7 @@
 
 /// Starts the answer to the caller; the rest follows as it arrives.
 pub fn stream<D: Dialect>(job: Job<D>, answer: Answer<D>) -> Response<AnswerBody> {
-    let last_event = &job.entry.dialect.headers().last_event;
+    let last_event = &job.entry.dialect.headers().last_event_id;
     let seen = job.request.headers.get(last_event).and_then(|value| value.to_str().ok()).map(str::to_owned);
     let head = answer.head.clone();
     meters::on_stream_start(&job.service, job.elapsed_ms());
@@ -108,7 +108,7 @@
                 Step::Broken { cause: "ended within an event".to_owned(), is_lost: true }
             }
             Ok(None) => {
-                answer.flight.set(Outcome::Good);
+                answer.flight.set(AttemptOutcome::Success);
                 self.job.note_served();
                 meters::on_answer(&self.job.service, "whole", self.job.elapsed_ms());
                 if let Some(answer) = self.answer.take() {
@@ -133,7 +133,7 @@
     /// Gives the present answer up: its connection closes.
     fn drop_answer(&mut self) -> Option<Pick> {
         let answer = self.answer.take()?;
-        answer.flight.set(Outcome::Failed);
+        answer.flight.set(AttemptOutcome::Failed);
         self.splitter.discard_partial_event();
         Some(answer.pick.clone())
     }
@@ -145,7 +145,7 @@
             return false;
         }
         if let Some(last) = self.splitter.last_id().and_then(|id| HeaderValue::from_str(id).ok()) {
-            let name = self.job.entry.dialect.headers().last_event.clone();
+            let name = self.job.entry.dialect.headers().last_event_id.clone();
             self.job.request.headers.insert(name, last);
         }
         match self.job.next_answer().await {
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use ochreyard_core::direct::{GroupUpdate, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{GroupUpdate, LimitUpdate, QuarantineUpdate};
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -19,7 +19,7 @@
 use crate::entry::Entry;
 use crate::log_news::{LeavingNews, OperatorNews};
 use crate::operator_side::{self, QUARANTINE_PATH, RELEASE_PATH};
-use crate::peers::News;
+use crate::peers::PeerUpdate;
 use crate::{connection, forward, meters, peers};
 
 /// Least size of the buffer for a head; the library needs this much.
@@ -50,7 +50,7 @@
 }
 
 async fn serve_caller<D: Dialect>(entry: Rc<Entry<D>>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
-    if let Err(error) = connection::tune(&stream) {
+    if let Err(error) = connection::set_socket_options(&stream) {
         log::debug!("event=tune_refused error=\"{error}\"");
     }
     let limits = entry.state.borrow().table.as_ref().map(|table| table.limits()).unwrap_or_default();
@@ -114,7 +114,7 @@
         };
         let (entry, metrics) = (Rc::clone(&entry), metrics.clone());
         tokio::task::spawn_local(async move {
-            if let Err(error) = connection::tune(&stream) {
+            if let Err(error) = connection::set_socket_options(&stream) {
                 log::debug!("event=tune_refused error=\"{error}\"");
             }
             let service = service_fn(move |request| {
@@ -146,11 +146,11 @@
         (Side::Peers, &Method::POST, GroupUpdate::PATH) => {
             status_only(peers::take_news::<D, GroupUpdate>(entry, request).await)
         }
-        (Side::Peers, &Method::POST, QuarantineNews::PATH) => {
-            status_only(peers::take_news::<D, QuarantineNews>(entry, request).await)
+        (Side::Peers, &Method::POST, QuarantineUpdate::PATH) => {
+            status_only(peers::take_news::<D, QuarantineUpdate>(entry, request).await)
         }
-        (Side::Peers, &Method::POST, LimitNews::PATH) => {
-            status_only(peers::take_news::<D, LimitNews>(entry, request).await)
+        (Side::Peers, &Method::POST, LimitUpdate::PATH) => {
+            status_only(peers::take_news::<D, LimitUpdate>(entry, request).await)
         }
         (Side::Peers, &Method::POST, OperatorNews::PATH) => {
             status_only(peers::take_news::<D, OperatorNews>(entry, request).await)
