--- a/crates/ochreyard-core/examples/heard_cost.rs
+++ b/crates/ochreyard-core/examples/heard_cost.rs
@@ -1,4 +1,6 @@
-//! Prints what it costs to note that another box answered: `cargo run --release -p ochreyard-core --example heard_cost`.
+//! Prints the cost of recording that another box answered.
+//!
+//! `cargo run --release -p ochreyard-core --example heard_cost`
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -6,7 +8,7 @@
 use ochreyard_core::direct::{BoxList, BoxRecord};
 
 const BOXES: [u32; 3] = [99, 432, 2_000];
-/// How often each box is heard.
+/// Number of times that each box is heard.
 const ROUNDS: u32 = 100;
 
 fn main() {
--- a/crates/ochreyard-core/examples/pick_cost.rs
+++ b/crates/ochreyard-core/examples/pick_cost.rs
@@ -1,7 +1,7 @@
-//! Prints what picking an endpoint costs: `cargo run --release -p ochreyard-core --example pick_cost`.
+//! Prints the cost of picking an endpoint: `cargo run --release -p ochreyard-core --example pick_cost`.
 //!
-//! With as many ranks as the largest service that is planned for has, a tenth of them full; without limits, and with every
-//! second rank naming one that this box has used up or has no part of.
+//! The largest number of ranks is that of the largest planned service. A tenth of the ranks are full. Measured without
+//! limits, and with every second rank stating a limit of which this box has used up its share or has no share.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -29,7 +29,7 @@
 fn pick_us(pool: &EndpointPool) -> f64 {
     let started = Instant::now();
     let picked = (0..PICKS).filter(|draw| pool.pick("brief", &[], Urgency::OnTime, *draw, 1).is_ok()).count();
-    assert_eq!(picked as u64, PICKS, "most ranks have room");
+    assert_eq!(picked as u64, PICKS, "most ranks have free slots");
     started.elapsed().as_secs_f64() * 1e6 / PICKS as f64
 }
 
@@ -48,7 +48,7 @@
         pool.apply(EndpointChange::Updated(format!("i-{rank:010}"), record));
     }
     let running = |rank: u16| if rank.is_multiple_of(10) { SLOTS + 1 } else { u64::from(rank) % SLOTS };
-    let news = |rank: u16| RankUpdate {
+    let update = |rank: u16| RankUpdate {
         endpoint: format!("i-{rank:010}"),
         running: running(rank),
         waiting: 0,
@@ -60,14 +60,14 @@
         reporter_role: ReporterRole::Leads,
         is_serving: true,
         step_ms: 60,
-        ranks: (0..ranks).map(news).collect(),
+        ranks: (0..ranks).map(update).collect(),
         loads: None,
     };
     pool.apply_group_update(&group, 0);
     pool
 }
 
-/// Every second rank names a limit, of which this box has sent its part.
+/// Every second rank states a limit of which this box has used up its share.
 fn half_limited(mut pool: EndpointPool, ranks: u16) -> EndpointPool {
     let others: Vec<String> = (1..BOXES).map(|at| format!("box-{at}")).collect();
     pool.set_sharing_boxes(SharingBoxes::new("box-0", others.iter().map(String::as_str), true));
--- a/crates/ochreyard-core/examples/route_cost.rs
+++ b/crates/ochreyard-core/examples/route_cost.rs
@@ -1,4 +1,4 @@
-//! What one routing decision costs.
+//! Prints the cost of one routing decision.
 //!
 //! `cargo run --release -p ochreyard-core --example route_cost`
 
--- a/crates/ochreyard-core/examples/state_size.rs
+++ b/crates/ochreyard-core/examples/state_size.rs
@@ -1,4 +1,4 @@
-//! Size of the configuration at the size of two years on.
+//! Prints the size of the configuration for a fleet of the size expected in two years.
 //!
 //! `cargo run --release -p ochreyard-core --example state_size`
 
@@ -14,14 +14,14 @@
 const WORKSPACES: usize = 360;
 const MODELS: usize = 24;
 const GROUPS: usize = 172;
-const PLACES: usize = 8;
+const DATA_CENTRES: usize = 8;
 
 fn service(number: usize) -> ServiceSpec {
     let kind = ServiceKind::Model;
     ServiceSpec { service: format!("model-{number}").into(), kind, first_byte_ms: 620, objective_permille: 950 }
 }
 
-fn place(number: usize) -> DataCentreSpec {
+fn data_centre(number: usize) -> DataCentreSpec {
     let holding = |model| Holding {
         service: format!("model-{model}").into(),
         model_versions: ["v1".to_owned()].into(),
@@ -35,8 +35,8 @@
         workspace: format!("workspace-{number}").into(),
         token_sha256: sha256_hex(&number.to_string()),
         services: (0..MODELS).map(|model| format!("model-{model}").into()).collect(),
-        run_in: (0..4).map(|dc| format!("dc-{}", (number + dc) % PLACES).into()).collect(),
-        keep_in: (0..2).map(|dc| format!("dc-{}", (number + dc) % PLACES).into()).collect(),
+        run_in: (0..4).map(|dc| format!("dc-{}", (number + dc) % DATA_CENTRES).into()).collect(),
+        keep_in: (0..2).map(|dc| format!("dc-{}", (number + dc) % DATA_CENTRES).into()).collect(),
     }
 }
 
@@ -44,7 +44,7 @@
     EndpointSpec {
         endpoint: format!("group-{number}").into(),
         service: format!("model-{}", number % MODELS).into(),
-        data_centre: format!("dc-{}", number % PLACES).into(),
+        data_centre: format!("dc-{}", number % DATA_CENTRES).into(),
         agent_addr: format!("10.0.{}.{}:7001", number / 200, number % 200).parse().expect("an address"),
         model_version: "v1".into(),
         role: Role::Mixed,
@@ -55,24 +55,22 @@
 fn main() {
     let change = Change {
         services: (0..MODELS).map(service).collect(),
-        data_centres: (0..PLACES).map(place).collect(),
+        data_centres: (0..DATA_CENTRES).map(data_centre).collect(),
         workspaces: (0..WORKSPACES).map(workspace).collect(),
         endpoints: (0..GROUPS).map(endpoint).collect(),
         ..Change::default()
     };
     let mut config = Configuration::default();
-    config
-        .apply(0, &ConfirmedPlan { plan_id: "p".into(), base_version: 0, change })
-        .expect("the change holds together");
-    let state_bytes = serde_json::to_vec(&config).expect("a state is JSON").len();
+    config.apply(0, &ConfirmedPlan { plan_id: "p".into(), base_version: 0, change }).expect("the change is valid");
+    let state_bytes = serde_json::to_vec(&config).expect("a configuration serializes to JSON").len();
 
     let one = Change { workspaces: vec![workspace(7)], ..Change::default() };
     let plan = ConfirmedPlan { plan_id: "q".into(), base_version: 1, change: one };
-    let record_bytes = serde_json::to_vec(&plan).expect("a plan is JSON").len();
+    let record_bytes = serde_json::to_vec(&plan).expect("a plan serializes to JSON").len();
     let rounds = 50;
     let started = Instant::now();
     for _ in 0..rounds {
-        config.clone().apply(2, &plan).expect("the change holds together");
+        config.clone().apply(2, &plan).expect("the change is valid");
     }
     let apply_us = started.elapsed().as_micros() / rounds;
 
--- a/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
+++ b/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
@@ -59,34 +59,34 @@
         draw: u64,
         now_ms: u64,
     ) -> DispatchDecision {
-        let no_pick = match self.pick_in_turn(pool, boxes, request, draw, now_ms) {
+        let pick_error = match self.pick_in_turn(pool, boxes, request, draw, now_ms) {
             Ok(pick) => {
                 self.stalls.record(false, now_ms);
                 self.overload.on_dispatched(request.urgency(now_ms), now_ms);
                 return DispatchDecision::Send(pick);
             }
-            Err(no_pick) => self.turn_under_limits(no_pick, pool, request, now_ms),
+            Err(pick_error) => self.turn_under_limits(pick_error, pool, request, now_ms),
         };
         let is_down = pool.is_down(request.service, now_ms);
         self.stalls.record(is_down, now_ms);
         if is_down {
             self.overload.reset();
-        } else if no_pick == PickError::Full {
+        } else if pick_error == PickError::Full {
             self.overload.on_full(now_ms);
         }
         let facts = WaitFacts {
-            no_pick,
+            no_pick: pick_error,
             left_ms: request.deadline_ms.saturating_sub(now_ms),
             needed_ms: self.service_time.estimate_after_wait_ms().unwrap_or(request.aim_ms),
             has_served: self.service_time.estimate_after_wait_ms().is_some(),
             is_worth_it: !is_down || request.ticket.is_some() || self.is_holding_worth_it(now_ms),
-            stands_for_ms: match no_pick {
+            stands_for_ms: match pick_error {
                 PickError::Paused { until_ms } => until_ms.saturating_sub(now_ms),
                 // A request that waits already was admitted by the estimate of that time.
                 _ if request.ticket.is_some() => 0,
                 _ => self.stalls.expected_remaining_ms(now_ms),
             },
-            queue_ms: match no_pick {
+            queue_ms: match pick_error {
                 PickError::Full => self.queue_ms(request, now_ms),
                 PickError::Limited { until_ms } => until_ms.saturating_sub(now_ms),
                 _ => 0,
@@ -102,21 +102,21 @@
     /// no turn now.
     fn turn_under_limits(
         &mut self,
-        no_pick: PickError,
+        pick_error: PickError,
         pool: &EndpointPool,
         request: &PendingRequest,
         now_ms: u64,
     ) -> PickError {
-        if let PickError::Limited { until_ms } = no_pick {
+        if let PickError::Limited { until_ms } = pick_error {
             self.limited_turns = Some(LimitedTurns::new(until_ms, pool.limit_usage(request.service, now_ms), now_ms));
         }
         let turns = self.limited_turns.filter(|turns| turns.is_recent(now_ms));
-        match (no_pick, turns) {
+        match (pick_error, turns) {
             (PickError::Full | PickError::Limited { .. }, Some(turns)) => {
                 let ahead = self.wait_queue.ahead(request.ticket, request.urgency(now_ms), request.deadline_ms, now_ms);
                 PickError::Limited { until_ms: turns.turn_ms(ahead) }
             }
-            (no_pick, _) => no_pick,
+            (pick_error, _) => pick_error,
         }
     }
 
@@ -152,7 +152,8 @@
         if !self.may_go_now(request.ticket, urgency, now_ms) {
             return Err(PickError::Full);
         }
-        let pick = pool.pick_in_regions(request.allowed_regions, request.service, request.tried, urgency, draw, now_ms)?;
+        let pick =
+            pool.pick_in_regions(request.allowed_regions, request.service, request.tried, urgency, draw, now_ms)?;
         let has_no_late_slot = urgency == Urgency::Late
             && pool.late_in_flight(request.service) >= Self::max_late_in_flight(pool.slots(request.service), boxes);
         if has_no_late_slot { Err(PickError::Full) } else { Ok(pick) }
--- a/crates/ochreyard-core/tests/allowed_regions.rs
+++ b/crates/ochreyard-core/tests/allowed_regions.rs
@@ -1,4 +1,4 @@
-//! Where requests may run.
+//! Regions in which requests may run.
 
 mod direct_fixture;
 
@@ -11,30 +11,30 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn homes(regions: &[&str]) -> AllowedRegions {
+fn allowed_regions(regions: &[&str]) -> AllowedRegions {
     AllowedRegions::of(regions.iter().map(|region| (*region).to_owned()))
 }
 
 #[rstest]
-#[case::none_named(&[], &[], "north", true)]
-#[case::by_the_route(&["north"], &[], "north", true)]
-#[case::not_by_the_route(&["south"], &[], "north", false)]
-#[case::not_by_the_workspace(&[], &["south"], "north", false)]
-#[case::by_both(&["north", "south"], &["north"], "north", true)]
-#[case::by_one_of_both(&["north", "south"], &["south"], "north", false)]
-#[case::by_none_of_both(&["south"], &["east"], "north", false)]
-fn both_the_route_and_the_workspace_bind(
+#[case::no_region_set(&[], &[], "north", true)]
+#[case::allowed_by_route(&["north"], &[], "north", true)]
+#[case::not_allowed_by_route(&["south"], &[], "north", false)]
+#[case::not_allowed_by_workspace(&[], &["south"], "north", false)]
+#[case::allowed_by_both(&["north", "south"], &["north"], "north", true)]
+#[case::allowed_by_one(&["north", "south"], &["south"], "north", false)]
+#[case::allowed_by_neither(&["south"], &["east"], "north", false)]
+fn a_region_must_be_allowed_by_the_route_and_the_workspace(
     #[case] route: &[&str],
     #[case] workspace: &[&str],
     #[case] region: &str,
     #[case] wanted: bool,
 ) {
-    assert_eq!(homes(route).intersect(&homes(workspace)).allows(Some(region)), wanted);
+    assert_eq!(allowed_regions(route).intersect(&allowed_regions(workspace)).allows(Some(region)), wanted);
 }
 
 #[test]
-fn a_region_that_is_not_known_is_no_home() {
-    assert!(!homes(&["north"]).allows(None));
+fn an_unknown_region_is_allowed_only_where_all_are() {
+    assert!(!allowed_regions(&["north"]).allows(None));
     assert!(AllowedRegions::ANY.allows(None));
 }
 
@@ -52,9 +52,10 @@
 }
 
 proptest! {
-    /// First attempts and repeats go home, whatever is full, tried or evacuated; where nothing is left, nobody gets them.
+    /// First attempts and retries stay in the allowed regions, whichever endpoints were tried or evacuated; where no
+    /// endpoint is left, none is picked.
     #[test]
-    fn no_request_leaves_its_homes(
+    fn no_request_leaves_its_allowed_regions(
         data_centres in prop::collection::vec(0usize..3, 1..8),
         allowed in prop::collection::btree_set(0usize..3, 1..3),
         tried in prop::collection::vec(0usize..8, 0..4),
@@ -66,23 +67,23 @@
             let name = format!("dc-{at}");
             pool.set_evacuated_data_centres([name.as_str()].into_iter());
         }
-        let homes = AllowedRegions::of(allowed.iter().map(|at| REGIONS[*at].to_owned()));
+        let allowed_regions = AllowedRegions::of(allowed.iter().map(|at| REGIONS[*at].to_owned()));
         let tried: Vec<EndpointIncarnation> =
             tried.iter().map(|at| EndpointIncarnation { id: format!("i-{at}"), started_ms: 0 }).collect();
-        match pool.pick_in_regions(&homes, "tiles", &tried, Urgency::OnTime, draw, 0) {
+        match pool.pick_in_regions(&allowed_regions, "tiles", &tried, Urgency::OnTime, draw, 0) {
             Ok(pick) => {
                 let at: usize = pick.id[2..].parse().unwrap();
                 prop_assert!(allowed.contains(&data_centres[at]));
                 prop_assert!(evacuated != Some(data_centres[at]));
             }
-            Err(no_pick) => {
+            Err(pick_error) => {
                 let is_left = |(at, data_centre): (usize, &usize)| {
                     allowed.contains(data_centre)
                         && evacuated != Some(*data_centre)
-                        && !tried.iter().any(|life| life.id == format!("i-{at}"))
+                        && !tried.iter().any(|incarnation| incarnation.id == format!("i-{at}"))
                 };
                 prop_assert!(!data_centres.iter().enumerate().any(is_left));
-                prop_assert_eq!(no_pick, PickError::Nobody);
+                prop_assert_eq!(pick_error, PickError::Nobody);
             }
         }
     }
--- a/crates/ochreyard-core/tests/direct.rs
+++ b/crates/ochreyard-core/tests/direct.rs
@@ -1,4 +1,4 @@
-//! What an entry that calls endpoints itself knows of routes, endpoints and other boxes.
+//! Routes, the endpoint catalog, the retry budget and the sources of an entry that calls endpoints directly.
 
 mod direct_fixture;
 
@@ -13,7 +13,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// A position in a log that names no era.
+/// A position in a log that states no era.
 const fn at(offset: u64) -> Position {
     Position::new(0, offset)
 }
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn keys_belong_to_workspaces_and_are_needed_once_there_are_any() {
+fn keys_map_to_workspaces_and_are_required_once_one_is_configured() {
     let table = RouteTable::new(1);
     assert!(!table.needs_key());
     let workspace = Workspace { name: "resort".into(), priority: None, allowed_regions: AllowedRegions::ANY };
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn of_two_records_the_newer_one_counts_whichever_comes_first() {
+fn the_newer_of_two_records_wins_in_any_order() {
     let mut catalog = Catalog::new();
     let leaving = EndpointRecord { is_leaving: true, ..endpoint(1) };
     assert_eq!(catalog.apply("e", at(7), Some(leaving.clone()), 0), Some(EndpointChange::Updated("e".into(), leaving)));
@@ -76,14 +76,14 @@
 }
 
 #[test]
-fn a_record_that_goes_while_the_log_is_read_means_gone() {
+fn a_record_deleted_while_the_log_is_reachable_removes_the_endpoint() {
     let mut catalog = Catalog::new();
     catalog.apply("e", at(1), Some(endpoint(1)), 0);
     assert_eq!(catalog.apply("e", at(2), None, 10), Some(EndpointChange::Removed("e".into())));
 }
 
 #[test]
-fn a_record_that_lapsed_in_an_outage_means_gone_only_two_seconds_after_it() {
+fn a_record_that_expired_in_an_outage_removes_the_endpoint_two_seconds_after_recovery() {
     let mut catalog = Catalog::new();
     catalog.apply("stays", at(1), Some(endpoint(1)), 0);
     catalog.apply("dies", at(2), Some(endpoint(2)), 0);
@@ -96,11 +96,11 @@
     assert_eq!(catalog.expire_unconfirmed(8_100), [EndpointChange::Removed("dies".into())]);
 }
 
-/// Seen: requests at an endpoint 2.0 to 2.3 s after its record had gone, from the one box that the log had not answered for a
-/// while until 1.4 s before. It took the record for one that had lapsed in that outage, and waited for two seconds from
-/// when it read that, not from the log's return.
+/// Requests reached an endpoint 2.0 to 2.3 s after its record was deleted, from the one box for which the log had been
+/// unreachable until 1.4 s before. The box took the deletion for an expiry in that outage, and counted the two seconds
+/// from its read of the deletion instead of from the recovery of the log.
 #[test]
-fn a_record_that_goes_soon_after_an_outage_is_waited_for_until_two_seconds_after_the_return() {
+fn a_record_deleted_soon_after_an_outage_removes_the_endpoint_two_seconds_after_recovery() {
     let mut catalog = Catalog::new();
     catalog.apply("leaves", at(1), Some(endpoint(1)), 0);
     catalog.on_log_unreachable(1_000);
@@ -110,11 +110,11 @@
 }
 
 #[test]
-fn a_record_that_lapsed_while_the_log_was_away_may_come_back_until_two_seconds_after_the_return() {
+fn a_record_that_expired_while_the_log_was_unreachable_may_return_until_two_seconds_after_recovery() {
     let mut catalog = Catalog::new();
     catalog.apply("lapses", at(1), Some(endpoint(1)), 0);
     catalog.on_log_unreachable(1_000);
-    // Another box told of it.
+    // The deletion was received from another box.
     assert_eq!(catalog.apply("lapses", at(2), None, 2_000), None);
     catalog.on_log_read(6_000);
     assert!(catalog.expire_unconfirmed(7_900).is_empty());
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_endpoint_that_a_whole_reading_no_longer_lists_is_gone() {
+fn an_endpoint_absent_from_a_complete_listing_is_removed() {
     let mut catalog = Catalog::new();
     catalog.apply("e", at(1), Some(endpoint(1)), 0);
     catalog.apply("f", at(2), Some(endpoint(2)), 0);
@@ -134,7 +134,7 @@
 
 proptest! {
     #[test]
-    fn events_come_out_whole_and_unchanged_however_bytes_arrive(cuts in proptest::collection::vec(1usize..9, 1..80)) {
+    fn events_are_complete_and_unchanged_however_bytes_arrive(cuts in proptest::collection::vec(1usize..9, 1..80)) {
         let text = "id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nversions: 1\nid: 3\ndata: d\n\nid: 4\ndata: half";
         let mut splitter = EventSplitter::default();
         let mut out = Vec::new();
@@ -153,27 +153,27 @@
     }
 
     #[test]
-    fn boxes_that_each_see_a_part_never_repeat_more_than_the_whole_budget(
+    fn boxes_that_each_see_some_requests_never_exceed_the_shared_retry_budget(
         arrivals in proptest::collection::vec((0usize..8, 0u64..40, any::<bool>()), 200..900)
     ) {
         let limits = RetryBudgetLimits { ratio: 0.2, fixed: 90, window_ms: 10_000 };
         let mut boxes: Vec<SharedRetryBudget> = (0..8).map(|_| SharedRetryBudget::new(limits, 8)).collect();
-        let (mut now_ms, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
-        for (at, pause_ms, wants_repeat) in arrivals {
+        let (mut now_ms, mut requests, mut retries) = (0, Vec::new(), Vec::new());
+        for (at, pause_ms, wants_retry) in arrivals {
             now_ms += pause_ms;
             boxes[at].on_request("s", now_ms);
             requests.push(now_ms);
-            if wants_repeat && boxes[at].try_take("s", now_ms) {
-                repeats.push(now_ms);
+            if wants_retry && boxes[at].try_take("s", now_ms) {
+                retries.push(now_ms);
             }
             let recent = |all: &[u64]| all.iter().filter(|then| **then + 10_000 > now_ms).count() as f64;
-            prop_assert!(recent(&repeats) <= 0.2 * recent(&requests) + 90.0);
+            prop_assert!(recent(&retries) <= 0.2 * recent(&requests) + 90.0);
         }
     }
 }
 
-/// A box in the data centre of all others.
-const fn near(name: &str) -> LocalBox<'_> {
+/// A box in the same data centre as all others.
+const fn in_same_data_centre(name: &str) -> LocalBox<'_> {
     LocalBox { name, data_centre: "" }
 }
 
@@ -189,60 +189,60 @@
 }
 
 #[test]
-fn two_boxes_read_for_all_and_the_others_agree_on_them() {
+fn two_boxes_are_readers_and_all_others_have_a_source() {
     let names: Vec<String> = (0..9).map(|at| format!("box-{at}")).collect();
     let others = |own: &str| {
         let others: Vec<&str> = names.iter().map(String::as_str).filter(|name| *name != own).collect();
         boxes(&others)
     };
-    let asked: Vec<Option<SocketAddr>> =
-        names.iter().map(|own| LogProgress::new(2_000).source(near(own), &others(own), 0)).collect();
-    assert_eq!(asked.iter().filter(|asked| asked.is_none()).count(), 2, "{asked:?}");
-    let reader = names.iter().zip(&asked).find(|(_, asked)| asked.is_none()).map(|(name, _)| name).unwrap();
+    let sources: Vec<Option<SocketAddr>> =
+        names.iter().map(|own| LogProgress::new(2_000).source(in_same_data_centre(own), &others(own), 0)).collect();
+    assert_eq!(sources.iter().filter(|source| source.is_none()).count(), 2, "{sources:?}");
+    let reader = names.iter().zip(&sources).find(|(_, source)| source.is_none()).map(|(name, _)| name).unwrap();
     assert!(
-        LogProgress::new(2_000).source(near("alone"), &BoxList::default(), 0).is_none(),
-        "a box alone reads for itself"
+        LogProgress::new(2_000).source(in_same_data_centre("alone"), &BoxList::default(), 0).is_none(),
+        "a box without others reads the log itself"
     );
     assert!(!reader.is_empty());
 }
 
 #[test]
-fn a_box_reads_for_itself_once_what_it_was_told_is_old_and_asks_another_one() {
+fn a_box_reads_the_log_itself_once_its_state_is_stale_and_polls_another_source() {
     let others = boxes(&["a", "b", "c", "d"]);
-    // Of five boxes, the last ones of the order are told; one of these names is among them.
+    // Of five boxes, the last ones of the order are followers; one of these names is among them.
     let own = ["v", "w", "x", "y", "z"]
         .into_iter()
-        .find(|own| LogProgress::new(2_000).source(near(own), &others, 0).is_some());
+        .find(|own| LogProgress::new(2_000).source(in_same_data_centre(own), &others, 0).is_some());
     let own = own.expect("one of five comes after two others");
-    let mut reading = LogProgress::new(2_000);
-    let first = reading.source(near(own), &others, 0);
-    assert!(!reading.is_fresh(0), "nothing is known yet");
-    assert!(reading.apply_peer_progress(at(40), 1_000, 1_300));
-    assert!(reading.is_fresh(2_100), "well within the time of 2,000 ms");
-    assert!(!reading.is_fresh(2_200));
-    assert_eq!(reading.source(near(own), &others, 0), first);
-    assert!(!reading.apply_peer_progress(at(50), 1_000, 2_300), "it knows only what is old");
-    assert_ne!(reading.source(near(own), &others, 0), first);
-    assert!(!reading.apply_peer_progress(at(30), 2_300, 2_300), "it has not come as far as we have");
-    assert_eq!(reading.next_position(), Some(at(40)));
+    let mut progress = LogProgress::new(2_000);
+    let first = progress.source(in_same_data_centre(own), &others, 0);
+    assert!(!progress.is_fresh(0), "nothing is known yet");
+    assert!(progress.apply_peer_progress(at(40), 1_000, 1_300));
+    assert!(progress.is_fresh(2_100), "within the propagation time of 2,000 ms");
+    assert!(!progress.is_fresh(2_200));
+    assert_eq!(progress.source(in_same_data_centre(own), &others, 0), first);
+    assert!(!progress.apply_peer_progress(at(50), 1_000, 2_300), "its state is stale");
+    assert_ne!(progress.source(in_same_data_centre(own), &others, 0), first);
+    assert!(!progress.apply_peer_progress(at(30), 2_300, 2_300), "it is behind this box");
+    assert_eq!(progress.next_position(), Some(at(40)));
 }
 
 #[test]
-fn another_box_is_told_of_an_entry_that_lapsed_only_once_that_is_settled() {
+fn an_expired_record_is_published_only_once_that_is_settled() {
     let mut catalog = Catalog::new();
     catalog.apply("e1", at(1), Some(endpoint(1)), 0);
     catalog.apply("e1", at(5), Some(endpoint(1)), 0);
-    assert_eq!(catalog.changed_since(at(2)).count(), 0, "the later record says the same");
+    assert_eq!(catalog.changed_since(at(2)).count(), 0, "the later record is equal");
     catalog.on_log_unreachable(100);
     catalog.on_log_read(200);
     catalog.apply("e1", at(7), None, 300);
     assert_eq!(catalog.changed_since(at(2)).count(), 0);
-    // Told as fresh with this change withheld, another box would go on sending work there
+    // If the state without this change were sent as fresh, another box would keep sending requests to the endpoint
     // (rule DRAIN on hehuan-maps-grown scale-2).
-    assert!(!catalog.is_settled(), "nobody may rely on what is told now");
+    assert!(!catalog.is_settled(), "other boxes must not rely on the state yet");
     assert_eq!(catalog.expire_unconfirmed(2_400).len(), 1);
-    let told: Vec<(&str, Position, bool)> =
+    let published: Vec<(&str, Position, bool)> =
         catalog.changed_since(at(7)).map(|(id, at, record)| (id, at, record.is_some())).collect();
-    assert_eq!(told, [("e1", at(7), false)]);
+    assert_eq!(published, [("e1", at(7), false)]);
     assert!(catalog.is_settled());
 }
--- a/crates/ochreyard-core/tests/direct_fixture/mod.rs
+++ b/crates/ochreyard-core/tests/direct_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the platform lists them.
+//! Endpoint records for tests.
 
 use std::net::SocketAddr;
 
--- a/crates/ochreyard-core/tests/evacuation.rs
+++ b/crates/ochreyard-core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Data centres that operators evacuate: what is known of them, and who gets requests.
+//! Evacuation of data centres: the known state, and which endpoints get requests.
 
 mod direct_fixture;
 
@@ -22,28 +22,31 @@
 }
 
 #[test]
-fn an_evacuation_is_in_force_until_it_is_taken_back() {
+fn an_evacuation_is_in_force_until_it_is_withdrawn() {
     let mut evacuations = Evacuations::default();
     assert!(evacuations.apply("a", at(0, 3), true, 0));
     assert_eq!(in_force(&evacuations), ["a"]);
     assert!(evacuations.apply("a", at(0, 7), false, 0));
     assert!(in_force(&evacuations).is_empty());
-    assert!(!evacuations.apply("a", at(0, 3), true, 0), "what comes late says nothing");
+    assert!(!evacuations.apply("a", at(0, 3), true, 0), "a record that arrives late is ignored");
 }
 
 #[test]
-fn a_listing_that_lacks_an_evacuation_says_that_it_is_over() {
+fn an_evacuation_absent_from_a_listing_is_over() {
     let mut evacuations = Evacuations::default();
     evacuations.apply("a", at(0, 3), true, 0);
     evacuations.retain_listed(&BTreeSet::new(), at(0, 3));
     assert_eq!(in_force(&evacuations), ["a"], "the listing is older than the record");
     evacuations.retain_listed(&BTreeSet::new(), at(0, 9));
     assert!(in_force(&evacuations).is_empty());
-    assert!(evacuations.apply("a", at(0, 9), true, 0), "the next record may stand where the listing ended");
+    assert!(
+        evacuations.apply("a", at(0, 9), true, 0),
+        "the next record may have the position at which the listing ended"
+    );
 }
 
 #[test]
-fn an_evacuation_outlives_a_return_of_the_log_until_the_operator_has_had_time_to_write_it_again() {
+fn an_evacuation_survives_a_restore_of_the_log_until_the_operator_has_had_time_to_write_it_again() {
     let mut evacuations = Evacuations::default();
     evacuations.apply("a", at(0, 30), true, 0);
     evacuations.on_log_restored(1, 1_000);
@@ -55,11 +58,11 @@
     assert!(!again.expire_missing(60_000));
     assert_eq!(in_force(&again), ["a"], "it was written again");
     assert!(evacuations.expire_missing(1_000 + GRACE_MS));
-    assert!(in_force(&evacuations).is_empty(), "it was not");
+    assert!(in_force(&evacuations).is_empty(), "it was not written again");
 }
 
 #[test]
-fn a_box_that_is_told_of_an_evacuation_of_an_earlier_era_does_not_keep_it_for_ever() {
+fn an_evacuation_of_an_earlier_era_received_from_another_box_expires() {
     let mut evacuations = Evacuations::default();
     evacuations.on_log_restored(2, 0);
     evacuations.apply("a", at(1, 30), true, 100);
@@ -69,13 +72,13 @@
 }
 
 #[test]
-fn a_copy_that_still_has_an_evacuation_puts_it_in_force_again() {
+fn an_evacuation_in_the_restored_log_is_in_force_again() {
     let mut evacuations = Evacuations::default();
     evacuations.apply("a", at(0, 30), true, 0);
     evacuations.apply("a", at(0, 40), false, 0);
     evacuations.on_log_restored(1, 1_000);
     evacuations.apply("a", at(1, 30), true, 1_100);
-    assert_eq!(in_force(&evacuations), ["a"], "the operator has not taken it back in this era");
+    assert_eq!(in_force(&evacuations), ["a"], "the operator has not withdrawn it in this era");
     evacuations.apply("a", at(1, 31), false, 1_200);
     assert!(in_force(&evacuations).is_empty());
 }
@@ -93,13 +96,13 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 proptest! {
-    /// In whichever order and however often records come, from the log or from other boxes, all boxes end with what was
-    /// written last.
+    /// In whatever order and however often records arrive, from the log or from other boxes, all boxes end with the
+    /// state that was written last.
     #[test]
-    fn all_boxes_end_with_what_was_written_last(
+    fn all_boxes_converge_to_the_last_records(
         records in prop::collection::vec(record(), 1..12),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..40),
-        told in prop::collection::vec(any::<bool>(), 40),
+        is_sent in prop::collection::vec(any::<bool>(), 40),
     ) {
         let mut boxes = [Evacuations::default(), Evacuations::default()];
         let position = |offset: usize| at(0, offset as u64);
@@ -107,16 +110,16 @@
         for (step, offset) in order.iter().map(|index| index.index(records.len())).chain(all).enumerate() {
             let Record { data_centre, is_in_force } = records[offset];
             boxes[0].apply(NAMES[data_centre], position(offset), is_in_force, 0);
-            if told.get(step).copied().unwrap_or(true) {
-                let news: Vec<EvacuationUpdate> = boxes[0].updates().collect();
-                for told in news {
-                    boxes[1].apply(&told.data_centre, told.position, told.is_in_force, 0);
+            if is_sent.get(step).copied().unwrap_or(true) {
+                let updates_to_send: Vec<EvacuationUpdate> = boxes[0].updates().collect();
+                for update in updates_to_send {
+                    boxes[1].apply(&update.data_centre, update.position, update.is_in_force, 0);
                 }
             }
         }
-        let news: Vec<EvacuationUpdate> = boxes[0].updates().collect();
-        for told in news {
-            boxes[1].apply(&told.data_centre, told.position, told.is_in_force, 0);
+        let updates_to_send: Vec<EvacuationUpdate> = boxes[0].updates().collect();
+        for update in updates_to_send {
+            boxes[1].apply(&update.data_centre, update.position, update.is_in_force, 0);
         }
         let last = |name: usize| records.iter().rev().find(|record| record.data_centre == name);
         let expected: Vec<&str> =
@@ -143,11 +146,11 @@
 
 #[rstest]
 #[case::known_before(false)]
-#[case::known_since(true)]
-fn no_endpoint_of_an_evacuated_data_centre_is_picked(#[case] comes_later: bool) {
-    let mut pool = if comes_later { EndpointPool::new() } else { pool() };
+#[case::known_later(true)]
+fn no_endpoint_of_an_evacuated_data_centre_is_picked(#[case] is_known_later: bool) {
+    let mut pool = if is_known_later { EndpointPool::new() } else { pool() };
     pool.set_evacuated_data_centres(["a"].into_iter());
-    if comes_later {
+    if is_known_later {
         pool.apply(EndpointChange::Updated("i-a".to_owned(), in_data_centre(1, "a")));
         pool.apply(EndpointChange::Updated("i-b".to_owned(), in_data_centre(2, "b")));
     }
@@ -163,11 +166,11 @@
     pool.on_attempt_start(&picked);
     pool.set_evacuated_data_centres(["a"].into_iter());
     assert!(!pool.try_record_send(&picked, None, 1));
-    assert!(!pool.is_gone_or_leaving(&picked), "what runs there ends in peace");
+    assert!(!pool.is_gone_or_leaving(&picked), "requests that run there are not interrupted");
 }
 
 #[test]
-fn where_all_data_centres_are_evacuated_nobody_is_left() {
+fn no_endpoint_is_left_where_all_data_centres_are_evacuated() {
     let mut pool = pool();
     pool.set_evacuated_data_centres(["a", "b"].into_iter());
     assert_eq!(pick(&pool, 0), Err(PickError::Nobody));
--- a/crates/ochreyard-core/tests/store_return_model/mod.rs
+++ b/crates/ochreyard-core/tests/log_restore_model/mod.rs
@@ -1,4 +1,5 @@
-//! A log that comes back from older copies, endpoints that write into it, and boxes that read it and tell each other.
+//! Simulates a log that is restored from older copies, endpoints that write to it, and boxes that read it and send each
+//! other updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +9,10 @@
 
 pub const BOXES: usize = 2;
 pub const ENDPOINTS: usize = 2;
-/// Longer than endpoints may take to write again after a return, in milliseconds.
+/// Longer than the time that endpoints have to write their records again after a restore, in milliseconds.
 const SETTLE_MS: u64 = 2_100;
 
-/// What an endpoint does.
+/// Phase of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Ready,
@@ -19,57 +20,57 @@
     Ended,
 }
 
-/// One thing that happens.
+/// One operation of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op {
-    /// An endpoint writes what it is.
+    /// An endpoint writes its record.
     Write(usize),
-    /// An endpoint begins to leave, and writes that.
+    /// An endpoint starts to leave, and writes its record.
     Leave(usize),
-    /// An endpoint has left, and its entry goes.
+    /// An endpoint ends, and its record is deleted.
     End(usize),
-    /// An endpoint starts again as itself.
-    StartAgain(usize),
-    /// An endpoint that lives loses its entry.
-    Lapse(usize),
-    /// The log comes back without its last records.
-    Return(usize),
-    /// A box reads the newest record of each endpoint.
+    /// An endpoint restarts with the same identifier.
+    Restart(usize),
+    /// The record of an endpoint expires although the endpoint is running.
+    Expire(usize),
+    /// The log is restored without its last records.
+    RestoreLog(usize),
+    /// A box lists the newest record of each endpoint.
     List(usize),
-    /// A box reads on.
+    /// A box reads the log from its next position.
     Read(usize),
-    /// One box tells the other one what changed.
-    Tell { from: usize, to: usize },
-    /// A box starts again.
-    StartBox(usize),
+    /// One box sends the other one the changes.
+    SendUpdates { from: usize, to: usize },
+    /// A box restarts without its state.
+    RestartBox(usize),
     /// Time passes.
-    Pass,
+    PassTime,
 }
 
 #[derive(Clone)]
 struct Endpoint {
     phase: Phase,
-    life: u64,
+    incarnation: u64,
 }
 
 #[derive(Clone, Default)]
 struct BoxModel {
     catalog: Catalog,
     next: Option<Position>,
-    /// The latest era that it knows, and in which it has listed all endpoints.
+    /// Latest era that the box knows, and the era in which it has listed all endpoints.
     era: Option<u64>,
     listed: Option<u64>,
     known: BTreeMap<String, EndpointRecord>,
-    /// Lives of which it has read, or was told, that they leave, or has read that they have ended. That an entry is
-    /// missing says nothing of that.
-    over: BTreeSet<(String, u64)>,
+    /// Incarnations that the box knows to be leaving, or of which it has read the end. A record that is absent does not
+    /// count as an end.
+    not_ready: BTreeSet<(String, u64)>,
 }
 
 impl BoxModel {
-    fn note_era(&mut self, era: u64, now_ms: u64) {
+    fn record_era(&mut self, era: u64, now_ms: u64) {
         if self.era.is_none_or(|known| known < era) {
-            let before = self.era.replace(era);
-            self.catalog.on_log_restored(era, before.map(|_| now_ms));
+            let previous = self.era.replace(era);
+            self.catalog.on_log_restored(era, previous.map(|_| now_ms));
         }
     }
 
@@ -78,7 +79,7 @@
             match change {
                 EndpointChange::Updated(id, record) => {
                     if record.is_leaving {
-                        self.over.insert((id.clone(), record.started_ms));
+                        self.not_ready.insert((id.clone(), record.started_ms));
                     }
                     self.known.insert(id, record);
                 }
@@ -90,73 +91,74 @@
 
 /// One record of the log.
 #[derive(Clone)]
-struct Entry {
+struct LogRecord {
     endpoint: usize,
     record: Option<EndpointRecord>,
-    /// The life that ended with it.
+    /// Incarnation that ended with this record.
     ends: Option<u64>,
 }
 
-/// Everything.
+/// State of the simulation.
 #[derive(Clone)]
-pub struct World {
+pub struct Simulation {
     now_ms: u64,
     era: u64,
-    log: Vec<Entry>,
+    log: Vec<LogRecord>,
     endpoints: Vec<Endpoint>,
     boxes: Vec<BoxModel>,
-    /// Lives that lost their entry although they went on: that it is gone says nothing of their end.
-    lapsed: BTreeSet<(String, u64)>,
+    /// Incarnations whose record expired although they kept running, so that its absence is not their end.
+    expired: BTreeSet<(String, u64)>,
 }
 
 fn name(endpoint: usize) -> String {
     format!("i-{endpoint}")
 }
 
-impl World {
+impl Simulation {
     pub fn new() -> Self {
-        let endpoints = vec![Endpoint { phase: Phase::Ready, life: 1 }; ENDPOINTS];
+        let endpoints = vec![Endpoint { phase: Phase::Ready, incarnation: 1 }; ENDPOINTS];
         let boxes = vec![BoxModel::default(); BOXES];
-        let mut world = Self { now_ms: 10_000, era: 1, log: Vec::new(), endpoints, boxes, lapsed: BTreeSet::new() };
-        (0..ENDPOINTS).for_each(|at| world.apply(Op::Write(at)));
-        (0..BOXES).for_each(|at| world.apply(Op::List(at)));
-        world
+        let mut simulation =
+            Self { now_ms: 10_000, era: 1, log: Vec::new(), endpoints, boxes, expired: BTreeSet::new() };
+        (0..ENDPOINTS).for_each(|at| simulation.apply(Op::Write(at)));
+        (0..BOXES).for_each(|at| simulation.apply(Op::List(at)));
+        simulation
     }
 
     pub fn apply(&mut self, op: Op) {
         self.now_ms += 100;
         match op {
             Op::Write(at) => self.write(at),
-            Op::Leave(at) => self.begin(at, Phase::Ready, Phase::Leaving),
+            Op::Leave(at) => self.change_phase(at, Phase::Ready, Phase::Leaving),
             Op::End(at) => self.end(at),
-            Op::StartAgain(at) => self.start_again(at),
-            Op::Lapse(at) => self.lapse(at),
-            Op::Return(lost) => self.return_without(lost),
+            Op::Restart(at) => self.restart(at),
+            Op::Expire(at) => self.expire(at),
+            Op::RestoreLog(lost) => self.restore_log_without(lost),
             Op::List(at) => self.list(at),
             Op::Read(at) => self.read(at),
-            Op::Tell { from, to } => self.tell(from, to),
-            Op::StartBox(at) => self.boxes[at] = BoxModel::default(),
-            Op::Pass => self.now_ms += SETTLE_MS,
+            Op::SendUpdates { from, to } => self.send_updates(from, to),
+            Op::RestartBox(at) => self.boxes[at] = BoxModel::default(),
+            Op::PassTime => self.now_ms += SETTLE_MS,
         }
         self.boxes.iter_mut().for_each(|model| {
-            let overdue = model.catalog.expire_unconfirmed(self.now_ms);
-            model.apply(overdue);
+            let expired_changes = model.catalog.expire_unconfirmed(self.now_ms);
+            model.apply(expired_changes);
         });
-        self.nothing_goes_back();
+        self.assert_no_state_reverted();
     }
 
     fn record(&self, at: usize) -> EndpointRecord {
-        let Endpoint { phase, life } = &self.endpoints[at];
-        EndpointRecord { is_leaving: *phase == Phase::Leaving, started_ms: *life, ..endpoint(at as u16 + 1) }
+        let Endpoint { phase, incarnation } = &self.endpoints[at];
+        EndpointRecord { is_leaving: *phase == Phase::Leaving, started_ms: *incarnation, ..endpoint(at as u16 + 1) }
     }
 
     fn write(&mut self, at: usize) {
         if self.endpoints[at].phase != Phase::Ended {
-            self.log.push(Entry { endpoint: at, record: Some(self.record(at)), ends: None });
+            self.log.push(LogRecord { endpoint: at, record: Some(self.record(at)), ends: None });
         }
     }
 
-    fn begin(&mut self, at: usize, from: Phase, to: Phase) {
+    fn change_phase(&mut self, at: usize, from: Phase, to: Phase) {
         if self.endpoints[at].phase == from {
             self.endpoints[at].phase = to;
             self.write(at);
@@ -166,29 +168,29 @@
     fn end(&mut self, at: usize) {
         if self.endpoints[at].phase != Phase::Ended {
             self.endpoints[at].phase = Phase::Ended;
-            self.log.push(Entry { endpoint: at, record: None, ends: Some(self.endpoints[at].life) });
+            self.log.push(LogRecord { endpoint: at, record: None, ends: Some(self.endpoints[at].incarnation) });
         }
     }
 
-    fn lapse(&mut self, at: usize) {
-        self.lapsed.insert((name(at), self.endpoints[at].life));
-        self.log.push(Entry { endpoint: at, record: None, ends: None });
+    fn expire(&mut self, at: usize) {
+        self.expired.insert((name(at), self.endpoints[at].incarnation));
+        self.log.push(LogRecord { endpoint: at, record: None, ends: None });
     }
 
-    fn start_again(&mut self, at: usize) {
-        let life = self.endpoints[at].life + 1;
-        self.endpoints[at] = Endpoint { phase: Phase::Ready, life };
+    fn restart(&mut self, at: usize) {
+        let incarnation = self.endpoints[at].incarnation + 1;
+        self.endpoints[at] = Endpoint { phase: Phase::Ready, incarnation };
         self.write(at);
     }
 
-    fn return_without(&mut self, lost: usize) {
+    fn restore_log_without(&mut self, lost: usize) {
         self.log.truncate(self.log.len().saturating_sub(lost));
         self.era += 1;
     }
 
     fn list(&mut self, at: usize) {
         let mut newest: BTreeMap<usize, (u64, EndpointRecord)> = BTreeMap::new();
-        for (offset, Entry { endpoint, record, .. }) in self.log.iter().enumerate() {
+        for (offset, LogRecord { endpoint, record, .. }) in self.log.iter().enumerate() {
             match record {
                 Some(record) => newest.insert(*endpoint, (offset as u64, record.clone())),
                 None => newest.remove(endpoint),
@@ -199,7 +201,7 @@
         let next = Position::new(era, after_last);
         let end = self.log.len() as u64;
         let model = &mut self.boxes[at];
-        model.note_era(era, now_ms);
+        model.record_era(era, now_ms);
         model.catalog.on_listing_end(Position::new(era, end));
         for (endpoint, (offset, record)) in &newest {
             let change =
@@ -207,8 +209,8 @@
             model.apply(change);
         }
         let listed: BTreeSet<String> = newest.keys().map(|endpoint| name(*endpoint)).collect();
-        let missing = model.catalog.retain_listed(&listed, next, now_ms);
-        model.apply(missing);
+        let removed = model.catalog.retain_listed(&listed, next, now_ms);
+        model.apply(removed);
         model.next = model.next.max(Some(next));
         model.listed = Some(era);
     }
@@ -219,54 +221,54 @@
         let (era, now_ms) = (self.era, self.now_ms);
         let first = usize::try_from(from.offset).unwrap();
         let model = &mut self.boxes[at];
-        for (offset, Entry { endpoint, record, ends }) in self.log.iter().enumerate().skip(first) {
+        for (offset, LogRecord { endpoint, record, ends }) in self.log.iter().enumerate().skip(first) {
             let position = Position::new(era, offset as u64);
             let change = model.catalog.apply(&name(*endpoint), position, record.clone(), now_ms);
             model.apply(change);
             let is_gone = !model.known.contains_key(&name(*endpoint));
-            model.over.extend(ends.filter(|_| is_gone).map(|life| (name(*endpoint), life)));
+            model.not_ready.extend(ends.filter(|_| is_gone).map(|incarnation| (name(*endpoint), incarnation)));
         }
         model.next = Some(Position::new(era, self.log.len() as u64));
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
-        let teller = &self.boxes[from];
-        let Some(next) = teller.next.filter(|_| teller.catalog.is_settled()) else { return };
+    fn send_updates(&mut self, from: usize, to: usize) {
+        let sender = &self.boxes[from];
+        let Some(next) = sender.next.filter(|_| sender.catalog.is_settled()) else { return };
         let since = self.boxes[to].next.unwrap_or_default();
-        let told: Vec<(String, Position, Option<EndpointRecord>)> =
-            teller.catalog.changed_since(since).map(|(id, at, record)| (id.to_owned(), at, record.cloned())).collect();
+        let updates: Vec<(String, Position, Option<EndpointRecord>)> =
+            sender.catalog.changed_since(since).map(|(id, at, record)| (id.to_owned(), at, record.cloned())).collect();
         let now_ms = self.now_ms;
         let model = &mut self.boxes[to];
-        model.note_era(next.era, now_ms);
-        for (id, position, record) in told {
+        model.record_era(next.era, now_ms);
+        for (id, position, record) in updates {
             let change = model.catalog.apply(&id, position, record, now_ms);
             model.apply(change);
         }
-        // One that learns of a return reads all again before it relies on what it is told.
+        // A box that learns of a restore reads the log again before it relies on updates.
         if model.listed == Some(next.era) {
             model.next = model.next.max(Some(next));
         }
     }
 
-    /// A box that knew that a life leaves or has ended never sends it work again, as long as that is so.
-    fn nothing_goes_back(&self) {
+    /// Asserts that a box that knew an incarnation to be leaving or ended does not take it for ready again.
+    fn assert_no_state_reverted(&self) {
         for model in &self.boxes {
             for (id, record) in &model.known {
                 let at: usize = id[2..].parse().unwrap();
-                let Endpoint { phase, life: present } = &self.endpoints[at];
-                let is_over = record.started_ms < *present || *phase != Phase::Ready;
-                let life = (id.clone(), record.started_ms);
-                let was_known = model.over.contains(&life) && !self.lapsed.contains(&life);
-                assert!(record.is_leaving || !is_over || !was_known, "{id} went back to {record:?}");
+                let Endpoint { phase, incarnation: present } = &self.endpoints[at];
+                let is_not_ready = record.started_ms < *present || *phase != Phase::Ready;
+                let incarnation = (id.clone(), record.started_ms);
+                let was_known = model.not_ready.contains(&incarnation) && !self.expired.contains(&incarnation);
+                assert!(record.is_leaving || !is_not_ready || !was_known, "{id} reverted to {record:?}");
             }
         }
     }
 
-    /// Once all that live have written again and boxes have read, each knows what is so.
+    /// Asserts that all boxes know the present state once all endpoints have written and all boxes have read.
     pub fn settle(&mut self) {
         (0..ENDPOINTS).for_each(|at| self.apply(Op::Write(at)));
         (0..BOXES).for_each(|at| self.apply(Op::Read(at)));
-        self.apply(Op::Pass);
+        self.apply(Op::PassTime);
         (0..ENDPOINTS).for_each(|at| self.apply(Op::Write(at)));
         (0..BOXES).for_each(|at| self.apply(Op::Read(at)));
         for model in &self.boxes {
--- a/crates/ochreyard-core/tests/poll_schedule.rs
+++ b/crates/ochreyard-core/tests/poll_schedule.rs
@@ -1,16 +1,15 @@
-//! How a new configuration reaches all boxes while readings of the platform's log hang.
+//! How a new configuration reaches all boxes while their reads of the platform's log hang.
 //!
-//! Seen: one of 39 entries answered by a configuration that was eleven seconds old, after the log had been slow and had lost
+//! One of 39 entries answered by a configuration that was eleven seconds old, after the log had been slow and had lost
 //! answers, while all others had the newest one within two seconds.
 //!
-//! How it can come about: the boxes that read for others were too slow for some askers, which passed them over and came to
-//! rely on each other. Each of them reads the records of endpoints itself as soon as those are old, so each looks fresh
-//! to the other and is never passed over; their own readings of the configuration hang.
+//! A likely course, since the log of that entry was not kept: the readers were too slow for some boxes, which skipped
+//! them and became each other's sources. Each of these reads the records of endpoints itself as soon as they are
+//! stale, so each looks fresh to the other and is never skipped, while its own reads of the configuration hang. The
+//! source of a box was chosen by the freshness of the endpoint records alone, and no other box was polled for the
+//! configuration.
 //!
-//! Cause: whom a box relies on was judged by the records of endpoints alone, and it asked nobody else for the configuration.
-//!
-//! What shows it: the model below, with the real choice of whom to ask. The log of that one entry was not kept, so that it
-//! went this way there is likely, not proved.
+//! The model below uses the real choice of the boxes to poll.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,20 +19,20 @@
 use rstest::rstest;
 
 const LEAVING_KNOWN_MS: u64 = 2_000;
-/// A box asks this often.
+/// Interval between two polling rounds of a box.
 const ROUND_MS: u64 = 400;
-/// How long questions to boxes that read for others get no answer in time.
+/// How long polls of readers may get no answer in time.
 const SLOW_MS: u64 = 4_000;
-/// The time in which all boxes have to know of a new configuration once questions are answered: the platform's pages give
-/// it some seconds more than this.
-const KNOWN_WITHIN_MS: u64 = 6_000;
+/// Time within which all boxes must have a new configuration once polls are answered again; the specification of the
+/// platform allows some seconds more.
+const CONVERGED_WITHIN_MS: u64 = 6_000;
 const NEW_VERSION: u64 = 68;
 
 struct BoxModel {
     name: String,
     others: BoxList,
-    reading: LogProgress,
-    questions: PollSchedule,
+    progress: LogProgress,
+    schedule: PollSchedule,
     version: u64,
 }
 
@@ -63,8 +62,8 @@
         let model = |at: usize| BoxModel {
             name: name(at),
             others: others(at),
-            reading: LogProgress::new(LEAVING_KNOWN_MS),
-            questions: PollSchedule::default(),
+            progress: LogProgress::new(LEAVING_KNOWN_MS),
+            schedule: PollSchedule::default(),
             version: NEW_VERSION - 1,
         };
         Self {
@@ -79,39 +78,41 @@
         hash::mix(self.draws)
     }
 
-    fn reads_for_others(&self, at: usize) -> bool {
+    fn is_reader(&self, at: usize) -> bool {
         let model = &self.boxes[at];
-        model.reading.source(own(&model.name), &model.others, 0).is_none()
+        model.progress.source(own(&model.name), &model.others, 0).is_none()
     }
 
-    /// A box that reads for others, or whose records are too old, reads those of endpoints; never the configuration.
+    /// A reader, or a box whose state is stale, reads the records of endpoints, but never the configuration.
     fn read_endpoints(&mut self, at: usize, now_ms: u64) {
-        if self.reads_for_others(at) || !self.boxes[at].reading.is_fresh(now_ms) {
-            self.boxes[at].reading.advance(Position::new(0, now_ms), now_ms);
+        if self.is_reader(at) || !self.boxes[at].progress.is_fresh(now_ms) {
+            self.boxes[at].progress.advance(Position::new(0, now_ms), now_ms);
         }
     }
 
-    fn ask(&mut self, at: usize, now_ms: u64) {
+    fn poll(&mut self, at: usize, now_ms: u64) {
         let draw = self.draw();
-        let BoxModel { name, others, reading, questions, .. } = &mut self.boxes[at];
-        let asked = questions.next(reading, own(name), others, draw, now_ms);
-        if let Some(to) = asked.source.map(|addr| self.by_addr[&addr]) {
-            let is_slow = now_ms < SLOW_MS && self.reads_for_others(to) && self.draw().is_multiple_of(2);
+        let BoxModel { name, others, progress, schedule, .. } = &mut self.boxes[at];
+        let targets = schedule.next(progress, own(name), others, draw, now_ms);
+        if let Some(to) = targets.source.map(|addr| self.by_addr[&addr]) {
+            let is_slow = now_ms < SLOW_MS && self.is_reader(to) && self.draw().is_multiple_of(2);
             if is_slow {
-                self.boxes[at].reading.skip_source();
+                self.boxes[at].progress.skip_source();
             } else {
-                let (next, age_ms) =
-                    (self.boxes[to].reading.next_position().unwrap_or_default(), self.boxes[to].reading.age_ms(now_ms));
-                self.boxes[at].reading.apply_peer_progress(next, now_ms.saturating_sub(age_ms), now_ms);
-                self.take_version(at, to);
+                let (next, age_ms) = (
+                    self.boxes[to].progress.next_position().unwrap_or_default(),
+                    self.boxes[to].progress.age_ms(now_ms),
+                );
+                self.boxes[at].progress.apply_peer_progress(next, now_ms.saturating_sub(age_ms), now_ms);
+                self.apply_version(at, to);
             }
         }
-        if let Some(to) = asked.random.map(|addr| self.by_addr[&addr]) {
-            self.take_version(at, to);
+        if let Some(to) = targets.random.map(|addr| self.by_addr[&addr]) {
+            self.apply_version(at, to);
         }
     }
 
-    fn take_version(&mut self, at: usize, from: usize) {
+    fn apply_version(&mut self, at: usize, from: usize) {
         self.boxes[at].version = self.boxes[at].version.max(self.boxes[from].version);
     }
 
@@ -124,19 +125,19 @@
 #[case::of_8(8)]
 #[case::of_39(39)]
 #[case::of_99(99)]
-fn no_box_stays_behind_with_the_configuration_whomever_it_relies_on(#[case] count: usize) {
+fn no_box_stays_behind_with_the_configuration_whatever_its_source(#[case] count: usize) {
     let mut fleet = Fleet::new(count);
-    for now_ms in (0..SLOW_MS + KNOWN_WITHIN_MS).step_by(ROUND_MS as usize) {
+    for now_ms in (0..SLOW_MS + CONVERGED_WITHIN_MS).step_by(ROUND_MS as usize) {
         for at in 0..count {
             fleet.read_endpoints(at, now_ms);
-            fleet.ask(at, now_ms);
+            fleet.poll(at, now_ms);
         }
         if now_ms == SLOW_MS {
-            // Those who read for others learn of the new version, and nobody else does by itself.
-            (0..count).filter(|at| fleet.reads_for_others(*at)).collect::<Vec<_>>().into_iter().for_each(|at| {
+            // The readers get the new version; no other box gets it by its own reads.
+            (0..count).filter(|at| fleet.is_reader(*at)).collect::<Vec<_>>().into_iter().for_each(|at| {
                 fleet.boxes[at].version = NEW_VERSION;
             });
         }
     }
-    assert_eq!(fleet.behind(), Vec::<&str>::new(), "six seconds after the boxes that read have it");
+    assert_eq!(fleet.behind(), Vec::<&str>::new(), "six seconds after the readers have it");
 }
--- a/crates/ochreyard-core/tests/stand_load_model/entry_model.rs
+++ b/crates/ochreyard-core/tests/stall_load_model/entry_model.rs
@@ -1,4 +1,4 @@
-//! One entry: its view of the endpoints, those that wait, and what it has running.
+//! Model of one entry: its view of the endpoints, and its waiting and running requests.
 
 use std::net::SocketAddr;
 
@@ -9,11 +9,11 @@
 
 use super::{ENDPOINTS, ENTRIES, SERVICE, SLOTS};
 
-/// One try of a caller.
+/// One attempt of a caller.
 #[derive(Debug, Clone)]
-pub struct Try {
+pub struct Attempt {
     pub caller: usize,
-    pub came_ms: u64,
+    pub arrived_ms: u64,
     pub deadline_ms: u64,
     pub arrival: Arrival,
     pub ticket: Option<Ticket>,
@@ -23,18 +23,18 @@
 pub struct EntryModel {
     pub pool: EndpointPool,
     pub queue: ServiceQueue,
-    pub waiting: Vec<Try>,
-    /// When each request ends, and where it runs.
+    pub waiting: Vec<Attempt>,
+    /// End and endpoint of each running request.
     running: Vec<(u64, Pick)>,
 }
 
 impl EntryModel {
-    /// An entry that has served for a while, `serves_ms` a request.
-    pub fn new(serves_ms: u64) -> Self {
+    /// Creates an entry that has served requests before, each in `service_ms`.
+    pub fn new(service_ms: u64) -> Self {
         let mut pool = EndpointPool::new();
         (0..ENDPOINTS).for_each(|at| pool.apply(EndpointChange::Updated(endpoint_id(at), record(at))));
         let mut queue = ServiceQueue::default();
-        queue.service_time.record(serves_ms);
+        queue.service_time.record(service_ms);
         Self { pool, queue, waiting: Vec::new(), running: Vec::new() }
     }
 
@@ -53,19 +53,19 @@
         }
     }
 
-    pub fn choose(&mut self, of: &Try, draw: u64, now_ms: u64) -> DispatchDecision {
-        let seeker = PendingRequest {
+    pub fn decide(&mut self, attempt: &Attempt, draw: u64, now_ms: u64) -> DispatchDecision {
+        let request = PendingRequest {
             service: SERVICE,
             allowed_regions: &AllowedRegions::ANY,
             tried: &[],
-            arrival: of.arrival,
-            deadline_ms: of.deadline_ms,
-            silent_since_ms: of.came_ms,
+            arrival: attempt.arrival,
+            deadline_ms: attempt.deadline_ms,
+            silent_since_ms: attempt.arrived_ms,
             aim_ms: 0,
             patience_ms: None,
-            ticket: of.ticket,
+            ticket: attempt.ticket,
         };
-        self.queue.decide(&self.pool, ENTRIES as u64, &seeker, draw, now_ms)
+        self.queue.decide(&self.pool, ENTRIES as u64, &request, draw, now_ms)
     }
 }
 
