--- a/crates/ochreyard-core/tests/stall_load_model/mod.rs
+++ b/crates/ochreyard-core/tests/stall_load_model/mod.rs
@@ -139,7 +139,7 @@
         for mut attempt in std::mem::take(&mut self.entries[entry].waiting) {
             match self.entries[entry].decide(&attempt, hash::mix(attempt.caller as u64 ^ now_ms), now_ms) {
                 DispatchDecision::Wait(_) if now_ms >= attempt.arrived_ms + self.callers.patience_ms => {
-                    self.disconnect(entry, &attempt, now_ms)
+                    self.disconnect(entry, &attempt, now_ms);
                 }
                 DispatchDecision::Wait(_) => {
                     let wait_queue = &mut self.entries[entry].queue.wait_queue;
