--- a/crates/ochreyard-core/src/direct/route_table.rs
+++ b/crates/ochreyard-core/src/direct/route_table.rs
@@ -45,7 +45,7 @@
     #[must_use]
     pub fn with_route(mut self, route: Route) -> Self {
         for weighted in &route.services {
-            let Some(target_gap_ms) = route.gap_aim_ms else { continue };
+            let Some(target_gap_ms) = route.target_gap_ms else { continue };
             let shortest_ms = self.target_gaps_ms.entry(weighted.service.clone()).or_insert(target_gap_ms);
             *shortest_ms = target_gap_ms.min(*shortest_ms);
         }
--- a/crates/ochreyard-core/src/direct/route_table/route.rs
+++ b/crates/ochreyard-core/src/direct/route_table/route.rs
@@ -20,9 +20,11 @@
     /// Longest time until a request is answered, in milliseconds.
     pub timeout_ms: u64,
     /// Latency target of an answer, in milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_latency_ms: u64,
     /// Target for the longest gap between two events of a stream, in milliseconds.
-    pub gap_aim_ms: Option<u64>,
+    #[serde(rename = "gap_aim_ms")]
+    pub target_gap_ms: Option<u64>,
     /// How long callers of the route wait without receiving anything before they disconnect, in milliseconds, where
     /// that is configured.
     pub patience_ms: Option<u64>,
--- a/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
+++ b/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
@@ -22,7 +22,7 @@
     /// Since when the caller has received nothing: the arrival of the request or the last event sent to the caller.
     pub silent_since_ms: u64,
     /// Latency target, used as the service time where none has been measured yet, in milliseconds.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// How long the caller waits without receiving anything before it disconnects, where that is configured.
     pub patience_ms: Option<u64>,
     /// Ticket of the request in the wait queue, if it waits there.
@@ -77,7 +77,7 @@
         let facts = WaitFacts {
             no_pick: pick_error,
             left_ms: request.deadline_ms.saturating_sub(now_ms),
-            needed_ms: self.service_time.estimate_after_wait_ms().unwrap_or(request.aim_ms),
+            needed_ms: self.service_time.estimate_after_wait_ms().unwrap_or(request.target_latency_ms),
             has_served: self.service_time.estimate_after_wait_ms().is_some(),
             is_worth_it: !is_down || request.ticket.is_some() || self.is_holding_worth_it(now_ms),
             stands_for_ms: match pick_error {
--- a/crates/ochreyard-core/src/direct/waiting/service_queue.rs
+++ b/crates/ochreyard-core/src/direct/waiting/service_queue.rs
@@ -43,14 +43,14 @@
 impl ServiceQueue {
     /// Classifies an arriving request by the timeout that its caller gave it. The latency target counts from the first
     /// attempt of the caller; a retry has less time left than usual.
-    pub fn on_arrival(&mut self, route: &str, aim_ms: u64, timeout_ms: u64, now_ms: u64) -> Arrival {
+    pub fn on_arrival(&mut self, route: &str, target_latency_ms: u64, timeout_ms: u64, now_ms: u64) -> Arrival {
         if !self.longest_timeout_ms.contains_key(route) {
             self.longest_timeout_ms.insert(route.to_owned(), 0);
         }
         let longest_timeout_ms = self.longest_timeout_ms.get_mut(route).expect("inserted above");
         *longest_timeout_ms = (*longest_timeout_ms).max(timeout_ms);
         let is_caller_retry = (timeout_ms as f64) < *longest_timeout_ms as f64 * RETRY_TIMEOUT_SHARE;
-        let on_time_ms = if is_caller_retry { 0.0 } else { aim_ms as f64 * ON_TIME_SEND_SHARE };
+        let on_time_ms = if is_caller_retry { 0.0 } else { target_latency_ms as f64 * ON_TIME_SEND_SHARE };
         Arrival { on_time_until_ms: now_ms + on_time_ms as u64, is_caller_retry }
     }
 
--- a/crates/ochreyard-core/tests/endpoint_notices.rs
+++ b/crates/ochreyard-core/tests/endpoint_notices.rs
@@ -156,7 +156,7 @@
         arrival,
         deadline_ms,
         silent_since_ms: 0,
-        aim_ms: 400,
+        target_latency_ms: 400,
         patience_ms: None,
         ticket: None,
     }
--- a/crates/ochreyard-core/tests/stall_load.rs
+++ b/crates/ochreyard-core/tests/stall_load.rs
@@ -11,7 +11,7 @@
 const CALLERS: Callers = Callers {
     per_s: 50,
     timeout_ms: 8_000,
-    aim_ms: 400,
+    target_latency_ms: 400,
     patience_ms: 2_000,
     sends_for_ms: 24_000,
     burst_ms: 0..0,
--- a/crates/ochreyard-core/tests/stall_load_model/entry_model.rs
+++ b/crates/ochreyard-core/tests/stall_load_model/entry_model.rs
@@ -61,7 +61,7 @@
             arrival: attempt.arrival,
             deadline_ms: attempt.deadline_ms,
             silent_since_ms: attempt.arrived_ms,
-            aim_ms: 0,
+            target_latency_ms: 0,
             patience_ms: None,
             ticket: attempt.ticket,
         };
--- a/crates/ochreyard-core/tests/stall_load_model/mod.rs
+++ b/crates/ochreyard-core/tests/stall_load_model/mod.rs
@@ -26,7 +26,7 @@
     pub per_s: u64,
     /// Timeout of a request.
     pub timeout_ms: u64,
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// How long callers wait for the start of an answer; then they disconnect, and retry if they have not yet.
     pub patience_ms: u64,
     /// How long callers send new requests.
@@ -128,7 +128,7 @@
     fn arrive(&mut self, caller: usize, timeout_ms: u64, is_first: bool, now_ms: u64) {
         let draw = hash::mix((caller * 2 + usize::from(is_first)) as u64);
         let entry = &mut self.entries[(draw % ENTRIES as u64) as usize];
-        let arrival = entry.queue.on_arrival("route", self.callers.aim_ms, timeout_ms, now_ms);
+        let arrival = entry.queue.on_arrival("route", self.callers.target_latency_ms, timeout_ms, now_ms);
         let deadline_ms = now_ms + timeout_ms;
         entry.waiting.push(Attempt { caller, arrived_ms: now_ms, deadline_ms, arrival, ticket: None, is_first });
     }
--- a/crates/ochreyard-core/tests/step_times.rs
+++ b/crates/ochreyard-core/tests/step_times.rs
@@ -52,7 +52,7 @@
     assert!(times.would_benefit((3.7, 1.6)));
 }
 
-fn route(prefix: &str, services: &[&str], gap_aim_ms: Option<u64>) -> Route {
+fn route(prefix: &str, services: &[&str], target_gap_ms: Option<u64>) -> Route {
     let weighted = |service: &&str| WeightedService { service: (*service).to_owned(), weight: 1 };
     Route {
         name: prefix.to_owned(),
@@ -60,8 +60,8 @@
         path_prefix: prefix.to_owned(),
         kind: RouteKind::Stream { resumable: true },
         timeout_ms: 8_000,
-        aim_ms: 400,
-        gap_aim_ms,
+        target_latency_ms: 400,
+        target_gap_ms,
         patience_ms: None,
         priority: 1,
         services: services.iter().map(weighted).collect(),
--- a/crates/ochreyard-core/tests/waiting.rs
+++ b/crates/ochreyard-core/tests/waiting.rs
@@ -201,7 +201,7 @@
         arrival,
         deadline_ms: 8_000,
         silent_since_ms: 0,
-        aim_ms: 400,
+        target_latency_ms: 400,
         patience_ms: None,
         ticket: None,
     }
--- a/crates/ochreyard-direct/src/forward.rs
+++ b/crates/ochreyard-direct/src/forward.rs
@@ -101,7 +101,7 @@
     }
     let mut state = entry.state.borrow_mut();
     state.budget.on_request(&service, started_ms);
-    let arrival = state.queue(&service).on_arrival(&route.name, route.aim_ms, held_ms, started_ms);
+    let arrival = state.queue(&service).on_arrival(&route.name, route.target_latency_ms, held_ms, started_ms);
     drop(state);
     Ok(Job {
         entry: Rc::clone(entry),
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -146,7 +146,7 @@
     /// Waits for an attempt, but not for an endpoint that is silent to everybody
     /// while another one may run the request, nor for one that has turned slow.
     async fn unless_silent(&self, pick: &Pick, attempt: impl Future<Output = Attempt<D>>) -> Attempt<D> {
-        let patience_ms = (self.route.aim_ms as f64 * PATIENCE_AIMS) as u64;
+        let patience_ms = (self.route.target_latency_ms as f64 * PATIENCE_AIMS) as u64;
         let may_go_on = self.route.kind.may_run_again() && self.sent + 1 < self.route.max_attempts;
         let started_ms = self.entry.clock.now_ms();
         tokio::pin!(attempt);
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -66,7 +66,7 @@
     /// Whether no further attempt is allowed.
     fn is_spent(&self) -> bool {
         let in_vain = self.tried.len() + self.refused_by_stands;
-        let took_its_time = self.elapsed_ms() >= self.route.aim_ms;
+        let took_its_time = self.elapsed_ms() >= self.route.target_latency_ms;
         self.sent >= self.route.max_attempts
             || (in_vain >= MAX_UNREACHED && took_its_time)
             || in_vain >= MAX_UNREACHED_AT_ONCE
@@ -148,7 +148,7 @@
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
             silent_since_ms: self.silent_since_ms,
-            aim_ms: self.route.aim_ms,
+            target_latency_ms: self.route.target_latency_ms,
             patience_ms: self.route.patience_ms,
             ticket: None,
         }
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -91,7 +91,7 @@
         if left_ms == 0 {
             return Step::TimeUp;
         }
-        let patience_ms = self.job.route.gap_aim_ms.unwrap_or(USUAL_GAP_MS) * PATIENCE_GAPS;
+        let patience_ms = self.job.route.target_gap_ms.unwrap_or(USUAL_GAP_MS) * PATIENCE_GAPS;
         let wait = Duration::from_millis(left_ms.min(patience_ms));
         match tokio::time::timeout(wait, answer.body.frame()).await {
             Ok(Some(Ok(frame))) => {
