--- a/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
+++ b/crates/ochreyard-core/src/direct/waiting/dispatch_decision.rs
@@ -98,8 +98,8 @@
         if facts.may_wait() { DispatchDecision::Wait(facts) } else { DispatchDecision::GiveUp(facts) }
     }
 
-    /// Replaces the error by the time of the turn of this request, after those ahead of it, where rate limits leave
-    /// no turn now.
+    /// Returns the reason why no endpoint was picked. Where rate limits leave no turn now, it states when the turn of
+    /// this request comes, after those ahead of it.
     fn turn_under_limits(
         &mut self,
         pick_error: PickError,
--- a/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
+++ b/crates/ochreyard-core/src/direct/waiting/limited_turns.rs
@@ -3,7 +3,7 @@
 use crate::direct::endpoint_pool::LimitUsage;
 
 /// How long the turns stay valid after this box has used up its share, in milliseconds: the first request of the queue
-/// asks for an endpoint several times within it.
+/// is tried several times within it.
 const MAX_AGE_MS: u64 = 50;
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
--- a/crates/ochreyard-core/src/direct/waiting/patience.rs
+++ b/crates/ochreyard-core/src/direct/waiting/patience.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the longest silence up to which a request should be held, in milliseconds; `None`
-    /// while fewer than [`MIN_SAMPLES`] waits are known.
+    /// while too few waits are known.
     #[must_use]
     pub fn hold_limit_ms(&self) -> Option<u64> {
         if self.waits_ms.len() < MIN_SAMPLES {
--- a/crates/ochreyard-core/src/direct/waiting/service_queue.rs
+++ b/crates/ochreyard-core/src/direct/waiting/service_queue.rs
@@ -32,7 +32,7 @@
     pub patience: Patience,
     /// Rate at which the service accepts late requests while it is full.
     pub overload: Overload,
-    /// Outcomes of requests that met a stalled service.
+    /// Outcomes of requests that arrived while the service was stalled.
     pub stall_outcomes: StallOutcomes,
     /// Turns that rate limits leave to this box where all endpoints state limits.
     pub(super) limited_turns: Option<LimitedTurns>,
--- a/crates/ochreyard-core/src/direct/waiting/stall_outcomes.rs
+++ b/crates/ochreyard-core/src/direct/waiting/stall_outcomes.rs
@@ -1,5 +1,5 @@
-//! Outcomes of recent requests that met a stalled service, so that an entry stops holding requests where that serves
-//! fewer of them than sending callers back.
+//! Outcomes of recent requests that arrived while a service was stalled, so that an entry stops holding requests where
+//! that serves fewer of them than sending callers back.
 
 use super::decaying_count::DecayingCount;
 
@@ -9,10 +9,10 @@
 /// Decayed number of requests from which a share is used.
 const MIN_WEIGHT: f64 = 8.0;
 
-/// Share of held requests that must be served for further requests to be held. A held request that is not served has
-/// cost its caller the wait, and other requests the slot that it took when the service recovered. With seven stalls of
-/// 2.6 s, 4 s apart, .49 of all requests were served without this minimum (comparing only with callers that were sent
-/// back), .54 with it, and .56 with no request held.
+/// Smallest share of held requests that must be served for further requests to be held. A held request that is not
+/// served has cost its caller the wait, and other requests the slot that it took when the service recovered. With seven
+/// stalls of 2.6 s, 4 s apart, .49 of all requests were served without this minimum (only the comparison with callers
+/// that were sent back), .54 with it, and .56 with no request held.
 const MIN_HELD_SHARE: f64 = 0.5;
 
 /// The share of requests that were served, weighted towards recent ones.
@@ -42,7 +42,7 @@
     }
 }
 
-/// How a request that met a stalled service was handled.
+/// How a request that arrived while the service was stalled was handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StallHandling {
     /// The request was held until the service resumed, or until it was given up.
@@ -51,7 +51,7 @@
     CallerRetried,
 }
 
-/// Shares of requests served after they met a stalled service, by how they were handled.
+/// Shares of served requests among those that arrived while the service was stalled, by how they were handled.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StallOutcomes {
     held: ServedShare,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns whether at least [`MIN_HELD_SHARE`] of the held requests are served, and no smaller share than of
+    /// Returns whether at least half of the held requests are served, and no smaller share than of the retries of
     /// callers that were sent back, as far as known.
     #[must_use]
     pub fn is_holding_worth_it(&self, now_ms: u64) -> bool {
