--- a/crates/ochreyard-direct/src/limits.rs
+++ b/crates/ochreyard-direct/src/limits.rs
@@ -19,15 +19,15 @@
     /// Logs limits that became known, with this box's share of each.
     pub fn log_limits(&self, limits: &[ToldLimit], source: &str) {
         let state = self.state.borrow();
-        for limit_update in limits {
-            let pick = state.pool.record(&limit_update.endpoint).map(|record| Pick::of(&limit_update.endpoint, record));
+        for reported in limits {
+            let pick = state.pool.record(&reported.endpoint).map(|record| Pick::of(&reported.endpoint, record));
             let Some(limit) = pick.and_then(|pick| state.pool.limit(&pick)) else { continue };
             let share = limit.share().map(|share| format!("{} in {} ms", share.count, share.window_ms));
             log::info!(
                 "event=endpoint_limit endpoint={} limit_per_s={} age_ms={} share=\"{}\" rank={} boxes={} source={source}",
-                limit_update.endpoint,
-                limit_update.rate.map_or_else(|| "none".to_owned(), |rate| rate.to_string()),
-                limit_update.age_ms,
+                reported.endpoint,
+                reported.rate.map_or_else(|| "none".to_owned(), |rate| rate.to_string()),
+                reported.age_ms,
                 share.as_deref().unwrap_or("all"),
                 limit.place().rank,
                 limit.place().boxes
