--- a/crates/ochreyard-direct/src/log_duty.rs
+++ b/crates/ochreyard-direct/src/log_duty.rs
@@ -8,9 +8,10 @@
 use crate::dialect::Dialect;
 use crate::entry::Entry;
 
-/// How long a box that has just started leaves the log to others, in milliseconds, and the random extra delay on top.
-/// Boxes that start together know nothing of each other, and all would read the same records.
+/// How long a box that has just started leaves the log to others, in milliseconds.
 const START_DELAY_MS: u64 = 1_000;
+/// Range of the random extra delay on top, in milliseconds. Boxes that start together know nothing of each other, and
+/// would all read the same records.
 const START_JITTER_MS: u64 = 1_000;
 /// How often it checks in the meantime whether another box has sent it the state.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(20);
