--- a/crates/ochreyard-core/examples/pick_cost.rs
+++ b/crates/ochreyard-core/examples/pick_cost.rs
@@ -7,15 +7,15 @@
 use std::time::Instant;
 
 use ochreyard_core::direct::{
-    EndpointChange, EndpointPool, EndpointRecord, GroupNews, LimitWord, Pick, RankNews, RequestRate, Sharers,
-    TellerRole, Urgency,
+    EndpointChange, EndpointPool, EndpointRecord, GroupUpdate, Pick, RankUpdate, ReportedLimit, ReporterRole,
+    RequestRate, SharingBoxes, Urgency,
 };
 
 const RANKS: [u16; 3] = [16, 96, 384];
 const SLOTS: u64 = 10;
 const PICKS: u64 = 20_000;
 const BOXES: usize = 39;
-const LIMIT: LimitWord = LimitWord::Limited(RequestRate::from_milli(1_000));
+const LIMIT: ReportedLimit = ReportedLimit::Limited(RequestRate::from_milli(1_000));
 
 fn main() {
     println!("| ranks | microseconds a pick | with half of them limited |");
@@ -28,7 +28,7 @@
 
 fn pick_us(pool: &EndpointPool) -> f64 {
     let started = Instant::now();
-    let picked = (0..PICKS).filter(|draw| pool.pick("brief", &[], Urgency::InAim, *draw, 1).is_ok()).count();
+    let picked = (0..PICKS).filter(|draw| pool.pick("brief", &[], Urgency::OnTime, *draw, 1).is_ok()).count();
     assert_eq!(picked as u64, PICKS, "most ranks have room");
     started.elapsed().as_secs_f64() * 1e6 / PICKS as f64
 }
@@ -43,40 +43,40 @@
             slots: SLOTS,
             is_leaving: false,
             cold_ms: 0,
-            born_ms: 1,
+            started_ms: 1,
         };
-        pool.apply(EndpointChange::Known(format!("i-{rank:010}"), record));
+        pool.apply(EndpointChange::Updated(format!("i-{rank:010}"), record));
     }
     let running = |rank: u16| if rank.is_multiple_of(10) { SLOTS + 1 } else { u64::from(rank) % SLOTS };
-    let news = |rank: u16| RankNews {
+    let news = |rank: u16| RankUpdate {
         endpoint: format!("i-{rank:010}"),
         running: running(rank),
         waiting: 0,
         pace_permille: 1_000,
     };
-    let group = GroupNews {
+    let group = GroupUpdate {
         service: "brief".to_owned(),
         group: "g0".to_owned(),
-        teller: TellerRole::Leads,
+        reporter_role: ReporterRole::Leads,
         is_serving: true,
         step_ms: 60,
         ranks: (0..ranks).map(news).collect(),
         loads: None,
     };
-    pool.on_news(&group, 0);
+    pool.apply_group_update(&group, 0);
     pool
 }
 
 /// Every second rank names a limit, of which this box has sent its part.
 fn half_limited(mut pool: EndpointPool, ranks: u16) -> EndpointPool {
     let others: Vec<String> = (1..BOXES).map(|at| format!("box-{at}")).collect();
-    pool.set_sharers(Sharers::new("box-0", others.iter().map(String::as_str), true));
+    pool.set_sharing_boxes(SharingBoxes::new("box-0", others.iter().map(String::as_str), true));
     let ids: Vec<String> = (0..ranks).step_by(2).map(|rank| format!("i-{rank:010}")).collect();
     for id in ids {
-        let Some(pick) = pool.record(&id).map(|record| Pick::of(&id, record)) else { continue };
-        let _ = pool.on_limit_word(&pick, LIMIT, 0, 0);
-        pool.on_start(&pick);
-        let _ = pool.try_send(&pick, None, 1);
+        let Some(pick) = pool.record(&id).map(|record| Pick::from_record(&id, record)) else { continue };
+        let _ = pool.on_reported_limit(&pick, LIMIT, 0, 0);
+        pool.on_attempt_start(&pick);
+        let _ = pool.try_record_send(&pick, None, 1);
     }
     pool
 }
--- a/crates/ochreyard-direct/src/attempt.rs
+++ b/crates/ochreyard-direct/src/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use http::{StatusCode, response};
-use ochreyard_core::direct::{Outcome, Pick};
+use ochreyard_core::direct::{AttemptOutcome, Pick};
 
 use crate::answer::Answer;
 use crate::caller_request::CallerRequest;
@@ -94,13 +94,13 @@
 }
 
 fn not_sent<D: Dialect>(in_flight: &InFlightAttempt<D>) -> Attempt<D> {
-    in_flight.set_outcome(Outcome::Unreachable);
+    in_flight.set_outcome(AttemptOutcome::Unreachable);
     in_flight.withhold();
     Attempt::NotSent
 }
 
 fn lost<D: Dialect>(in_flight: &InFlightAttempt<D>, error: &hyper::Error) -> Attempt<D> {
-    in_flight.set_outcome(Outcome::Failed);
+    in_flight.set_outcome(AttemptOutcome::Failed);
     Attempt::Lost { cause: format!("connection lost: {error}") }
 }
 
@@ -128,7 +128,7 @@
     // Passed on to the caller, these statuses would claim that the request has not run.
     let implies_not_run = IMPLIES_NOT_RUN.contains(&head.status);
     if !is_own || lacks_proof || implies_not_run {
-        in_flight.set_outcome(Outcome::Failed);
+        in_flight.set_outcome(AttemptOutcome::Failed);
         let cause = match (is_own, lacks_proof) {
             (false, _) => "answer to another request",
             (true, true) => "answer lacks the endpoint's signature",
@@ -148,9 +148,9 @@
     let is_group_fault = is_full && at_fault.is_some_and(|id| id.as_bytes() != pick.id.as_bytes());
     in_flight.set_outcome(match (is_group_fault, is_full) {
         // Another rank is at fault: this one is as good as before once its group resumes.
-        (true, _) => Outcome::Unknown,
-        (false, true) => Outcome::Full,
-        (false, false) => Outcome::Unreachable,
+        (true, _) => AttemptOutcome::Unknown,
+        (false, true) => AttemptOutcome::Full,
+        (false, false) => AttemptOutcome::Unreachable,
     });
     if is_group_fault {
         let now_ms = entry.clock.now_ms();
--- a/crates/ochreyard-direct/src/connection_pool.rs
+++ b/crates/ochreyard-direct/src/connection_pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::HeaderMap;
-use ochreyard_core::direct::{EndpointLife, Pick};
+use ochreyard_core::direct::{EndpointIncarnation, Pick};
 
 use crate::connection::Connection;
 
@@ -28,13 +28,13 @@
 /// The address may later belong to another endpoint, and connections to an earlier incarnation are of no use.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: HashMap<(EndpointLife, SocketAddr), Vec<IdleConnection>>,
+    idle: HashMap<(EndpointIncarnation, SocketAddr), Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
     /// Removes and returns the most recently used connection that should still be open.
     pub fn take(&mut self, pick: &Pick, now_ms: u64) -> Option<Connection> {
-        let idle = self.idle.get_mut(&(pick.life(), pick.addr))?;
+        let idle = self.idle.get_mut(&(pick.incarnation(), pick.addr))?;
         while let Some(last) = idle.pop() {
             if last.until_ms > now_ms && last.connection.is_open() {
                 return Some(last.connection);
@@ -46,7 +46,7 @@
     /// Keeps a connection whose answer was complete, unless the answer forbids it.
     pub fn keep(&mut self, pick: &Pick, connection: Connection, answer: &HeaderMap, now_ms: u64) {
         let Some(idle_time) = allowed_idle(answer) else { return };
-        let idle = self.idle.entry((pick.life(), pick.addr)).or_default();
+        let idle = self.idle.entry((pick.incarnation(), pick.addr)).or_default();
         if idle.len() < MAX_IDLE_PER_ENDPOINT && connection.is_open() {
             idle.push(IdleConnection { connection, until_ms: now_ms + idle_time.as_millis() as u64 });
         }
@@ -54,7 +54,7 @@
 
     /// Drops the connections to an endpoint that leaves.
     pub fn forget(&mut self, pick: &Pick) {
-        self.idle.remove(&(pick.life(), pick.addr));
+        self.idle.remove(&(pick.incarnation(), pick.addr));
     }
 
     /// Drops all connections.
--- a/crates/ochreyard-direct/src/containment.rs
+++ b/crates/ochreyard-direct/src/containment.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{CrashNews, Fingerprint, Judged, LostRequest, Pick, QuarantineNews};
+use ochreyard_core::direct::{CrashReport, Fingerprint, LostRequest, Pick, QuarantineUpdate, QuarantinedRequest};
 use ochreyard_core::hash;
 
 use crate::dialect::Dialect;
@@ -22,7 +22,7 @@
 /// Crash reports to be sent, and verdicts to be written.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    crashes: RefCell<Vec<CrashNews>>,
+    crashes: RefCell<Vec<CrashReport>>,
     /// Requests whose verdicts are to be written into the log.
     pub verdicts_to_write: RefCell<Vec<Fingerprint>>,
     /// Wakes the task that writes verdicts.
@@ -54,10 +54,10 @@
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(CRASH_BATCH_DELAY).await;
                 let crashes = std::mem::take(&mut *entry.outbox.crashes.borrow_mut());
-                broadcast(&entry, &QuarantineNews { crashes, ..QuarantineNews::default() });
+                broadcast(&entry, &QuarantineUpdate { crashes, ..QuarantineUpdate::default() });
             });
         }
-        crashes.push(CrashNews { endpoint: pick.id.clone(), service: service.to_owned(), age_ms, lost: vec![lost] });
+        crashes.push(CrashReport { endpoint: pick.id.clone(), service: service.to_owned(), age_ms, lost: vec![lost] });
     }
 
     /// Records that a suspected request is about to be sent, and lets other boxes hold back identical ones.
@@ -72,13 +72,13 @@
     /// Records that a request ended without a crash. Other boxes learn of it when they poll.
     pub fn on_clean_end(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
-        if self.state.borrow_mut().quarantine.on_good_end(fingerprint, now_ms) {
+        if self.state.borrow_mut().quarantine.on_success(fingerprint, now_ms) {
             log::debug!("event=suspect_cleared fingerprint={fingerprint}");
         }
     }
 
     /// Applies findings of another box on requests that crash endpoints.
-    pub fn apply_quarantine_update(&self, update: &QuarantineNews) {
+    pub fn apply_quarantine_update(&self, update: &QuarantineUpdate) {
         if update.is_empty() {
             return;
         }
@@ -87,7 +87,7 @@
         for crash in &update.crashes {
             state.pool.on_crash(&crash.endpoint, now_ms.saturating_sub(crash.age_ms));
         }
-        let judged = state.quarantine.take(update, now_ms);
+        let judged = state.quarantine.apply_update(update, now_ms);
         drop(state);
         self.record_judged(&judged, "told");
         let to_write =
@@ -98,7 +98,7 @@
     /// Returns whether this box writes the verdict on a request that other boxes reported. The box that saw the last
     /// crash writes it, too, but it may have known too little for a verdict, or be gone by now.
     fn is_verdict_writer(&self, fingerprint: Fingerprint) -> bool {
-        let rank = |name: &str| hash::mix(hash::fnv1a(name.as_bytes()) ^ fingerprint.number());
+        let rank = |name: &str| hash::mix(hash::fnv1a(name.as_bytes()) ^ fingerprint.to_u64());
         let own_rank = rank(&self.identity.name);
         let state = self.state.borrow();
         state.boxes.iter().filter(|(name, _)| rank(name) < own_rank).count() < INFORMED_WRITERS
@@ -108,7 +108,7 @@
     /// for all do so.
     pub fn rewrite_verdicts(&self) {
         let now_ms = self.clock.now_ms();
-        let known = self.state.borrow().quarantine.decided(now_ms);
+        let known = self.state.borrow().quarantine.active_decisions(now_ms);
         known
             .into_iter()
             .filter(|fingerprint| self.is_verdict_writer(*fingerprint))
@@ -129,8 +129,8 @@
         broadcast(self, &update);
     }
 
-    fn record_judged(&self, judged: &[Judged], source: &str) {
-        for Judged { fingerprint, times, for_ms, crashes } in judged {
+    fn record_judged(&self, judged: &[QuarantinedRequest], source: &str) {
+        for QuarantinedRequest { fingerprint, times, for_ms, crashes } in judged {
             meters::on_quarantined();
             log::warn!(
                 "event=request_quarantined fingerprint={fingerprint} source={source} times={times} for_ms={for_ms} \
--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineFigures, GroupNews, Position, RepeatLimits};
+use ochreyard_core::direct::{BoxRecord, EndpointChange, EngineSpec, GroupUpdate, Position, RetryBudgetLimits};
 use ochreyard_core::hash;
 use ochreyard_process::Clock;
 use tokio::sync::{Notify, watch};
@@ -72,7 +72,7 @@
 impl<D: Dialect> Entry<D> {
     /// Creates an entry without any state. An endpoint that leaves must get no more requests after `leaving_known_ms`.
     #[must_use]
-    pub fn new(dialect: D, identity: Identity, limits: RepeatLimits, leaving_known_ms: u64, clock: Clock) -> Self {
+    pub fn new(dialect: D, identity: Identity, limits: RetryBudgetLimits, leaving_known_ms: u64, clock: Clock) -> Self {
         let state = State::new(limits, leaving_known_ms);
         let random_counter = Cell::new(identity.incarnation);
         Self {
@@ -127,26 +127,31 @@
     pub fn grouped_services(&self) -> Vec<String> {
         let state = self.state.borrow();
         let services = state.table.iter().flat_map(|table| table.services());
-        let is_grouped = |figures: EngineFigures| figures.sets > 0;
+        let is_grouped = |figures: EngineSpec| figures.sets > 0;
         services.filter(|service| service.engine.is_some_and(is_grouped)).map(|service| service.name.clone()).collect()
     }
 
     /// Returns what the configuration states about the engines of a service.
-    pub fn engine_figures(&self, service: &str) -> Option<EngineFigures> {
+    pub fn engine_figures(&self, service: &str) -> Option<EngineSpec> {
         self.state.borrow().table.as_ref()?.service(service)?.engine
     }
 
     /// Applies an update about a group from its leader or from an observer.
-    pub fn apply_group_update(&self, update: &GroupNews) {
+    pub fn apply_group_update(&self, update: &GroupUpdate) {
         let now_ms = self.clock.now_ms();
-        self.state.borrow_mut().pool.on_news(update, now_ms);
-        log::debug!("event=group_told group={} teller={:?} serving={}", update.group, update.teller, update.is_serving);
+        self.state.borrow_mut().pool.apply_group_update(update, now_ms);
+        log::debug!(
+            "event=group_told group={} teller={:?} serving={}",
+            update.group,
+            update.reporter_role,
+            update.is_serving
+        );
     }
 
     /// Returns the box to poll for endpoint records; `None` if this box reads the log for others.
     pub fn box_to_ask(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.reading.box_to_ask(self.identity.own(), &state.boxes, self.clock.now_ms())
+        state.reading.source(self.identity.own(), &state.boxes, self.clock.now_ms())
     }
 
     /// Applies a configuration if it is newer than the one in force, whatever its source, and returns whether it did.
@@ -164,7 +169,7 @@
             return false;
         }
         log::info!("event=config_in_force version={} source={source}", table.version());
-        state.pool.set_cold_bounds(&table);
+        state.pool.set_cold_limits(&table);
         state.table = Some(Arc::new(table));
         state.config_document = document.clone();
         true
@@ -181,7 +186,7 @@
             }
         };
         let now_ms = self.clock.now_ms();
-        let change = self.state.borrow_mut().catalog.take(id, position, record, now_ms);
+        let change = self.state.borrow_mut().catalog.apply(id, position, record, now_ms);
         self.apply_endpoint_changes(change);
     }
 
@@ -189,7 +194,7 @@
     pub fn apply_peer_endpoints(&self, endpoints: Vec<PeerEndpoint>) {
         let now_ms = self.clock.now_ms();
         for PeerEndpoint { id, position, record } in endpoints {
-            let change = self.state.borrow_mut().catalog.take(&id, position, record, now_ms);
+            let change = self.state.borrow_mut().catalog.apply(&id, position, record, now_ms);
             self.apply_endpoint_changes(change);
         }
     }
@@ -203,18 +208,18 @@
     pub fn apply_endpoint_changes(&self, changes: impl IntoIterator<Item = EndpointChange>) {
         for change in changes {
             match &change {
-                EndpointChange::Known(id, record) => log::info!(
+                EndpointChange::Updated(id, record) => log::info!(
                     "event=endpoint_known endpoint={id} service={} addr={} leaving={} cold_ms={}",
                     record.service,
                     record.addr,
                     record.is_leaving,
                     record.cold_ms
                 ),
-                EndpointChange::Gone(id) => log::info!("event=endpoint_gone endpoint={id}"),
+                EndpointChange::Removed(id) => log::info!("event=endpoint_gone endpoint={id}"),
             }
             let cold = match &change {
-                EndpointChange::Known(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
-                EndpointChange::Known(..) | EndpointChange::Gone(_) => None,
+                EndpointChange::Updated(id, record) if record.cold_ms > 0 => Some((id.clone(), record.cold_ms)),
+                EndpointChange::Updated(..) | EndpointChange::Removed(_) => None,
             };
             let now_ms = self.clock.now_ms();
             let mut state = self.state.borrow_mut();
@@ -232,7 +237,7 @@
         }
         let mut state = self.state.borrow_mut();
         let addr = record.addr;
-        if state.boxes.take(name, record) {
+        if state.boxes.insert(name, record) {
             self.redistribute_shares(&mut state);
             log::info!("event=box_known box={name} addr={addr} boxes={}", state.boxes.len() + 1);
         }
@@ -255,7 +260,7 @@
         if answers {
             state.catalog.on_log_read(now_ms);
         } else {
-            state.catalog.on_log_away(now_ms);
+            state.catalog.on_log_unreachable(now_ms);
         }
         if state.log_answers != answers {
             state.log_answers = answers;
--- a/crates/ochreyard-direct/src/entry/identity.rs
+++ b/crates/ochreyard-direct/src/entry/identity.rs
@@ -1,6 +1,6 @@
 //! Identity of an entry process.
 
-use ochreyard_core::direct::{BoxRecord, Own};
+use ochreyard_core::direct::{BoxRecord, LocalBox};
 
 /// Identity of this process.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
 impl Identity {
     /// Returns this box as the core sees it when it assigns duties among all boxes.
     #[must_use]
-    pub fn own(&self) -> Own<'_> {
-        Own { name: &self.name, data_centre: &self.data_centre }
+    pub fn own(&self) -> LocalBox<'_> {
+        LocalBox { name: &self.name, data_centre: &self.data_centre }
     }
 }
--- a/crates/ochreyard-direct/src/entry/state.rs
+++ b/crates/ochreyard-direct/src/entry/state.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use ochreyard_core::direct::{
-    BoxList, Catalog, EndpointPool, Evacuations, Quarantine, Reading, RepeatBudget, RepeatLimits, RouteTable,
-    ServiceQueue, Sharers,
+    BoxList, Catalog, EndpointPool, Evacuations, LogProgress, Quarantine, RetryBudgetLimits, RouteTable, ServiceQueue,
+    SharedRetryBudget, SharingBoxes,
 };
 
 use crate::connection_pool::ConnectionPool;
@@ -22,13 +22,13 @@
     /// The data centres that operators have evacuated.
     pub evacuations: Evacuations,
     /// How far and how recently the endpoint records were read, by this box or by another one.
-    pub reading: Reading,
+    pub reading: LogProgress,
     /// The endpoints with their load, as seen from this box.
     pub pool: EndpointPool,
     /// Kept connections to endpoints.
     pub connections: ConnectionPool,
     /// Budget of retries.
-    pub budget: RepeatBudget,
+    pub budget: SharedRetryBudget,
     /// Wait queues by service.
     pub queues: HashMap<String, ServiceQueue>,
     /// Findings on requests that crash endpoints.
@@ -46,16 +46,16 @@
 impl State {
     /// Creates an empty state. An endpoint that leaves must get no more requests after `leaving_known_ms`.
     #[must_use]
-    pub fn new(limits: RepeatLimits, leaving_known_ms: u64) -> Self {
+    pub fn new(limits: RetryBudgetLimits, leaving_known_ms: u64) -> Self {
         Self {
             table: None,
             config_document: Bytes::new(),
             catalog: Catalog::new(),
             evacuations: Evacuations::default(),
-            reading: Reading::new(leaving_known_ms),
+            reading: LogProgress::new(leaving_known_ms),
             pool: EndpointPool::new(),
             connections: ConnectionPool::default(),
-            budget: RepeatBudget::new(limits, Sharers::default().count()),
+            budget: SharedRetryBudget::new(limits, SharingBoxes::default().count()),
             queues: HashMap::new(),
             quarantine: Quarantine::default(),
             boxes: BoxList::default(),
--- a/crates/ochreyard-direct/src/follow/boxes.rs
+++ b/crates/ochreyard-direct/src/follow/boxes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::record_log_result;
 use crate::dialect::Dialect;
@@ -20,7 +20,7 @@
 pub async fn follow_boxes<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
     let mut is_registered = false;
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     loop {
         entry.wait_while_updated_by_peers().await;
@@ -48,8 +48,8 @@
         }
         let pause = match entry.duty() {
             _ if page.is_none() || !is_registered => entry.retry_delay(&mut pauses),
-            Duty::Reads => READ_INTERVAL,
-            Duty::Relays | Duty::Told => RELAY_READ_INTERVAL,
+            ReadRole::Reader => READ_INTERVAL,
+            ReadRole::Relay | ReadRole::Follower => RELAY_READ_INTERVAL,
         };
         if tokio::time::timeout(pause, log_restores.changed()).await.is_ok() {
             // The log was restored from an older copy, which may lack the record of this box.
--- a/crates/ochreyard-direct/src/follow/config.rs
+++ b/crates/ochreyard-direct/src/follow/config.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::{record_log_result, resume_position};
 use crate::dialect::Dialect;
@@ -21,7 +21,7 @@
 /// little.
 pub async fn follow_config<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     'outage: loop {
         entry.wait_while_updated_by_peers().await;
@@ -37,9 +37,9 @@
         let mut from = resume_position(&page);
         loop {
             let wait_ms = match entry.duty() {
-                Duty::Reads => READER_LONG_POLL_MS,
-                Duty::Relays => RELAY_LONG_POLL_MS,
-                Duty::Told => {
+                ReadRole::Reader => READER_LONG_POLL_MS,
+                ReadRole::Relay => RELAY_LONG_POLL_MS,
+                ReadRole::Follower => {
                     tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
                     continue 'outage;
                 }
--- a/crates/ochreyard-direct/src/follow/endpoints.rs
+++ b/crates/ochreyard-direct/src/follow/endpoints.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use super::{record_log_result, resume_position};
 use crate::dialect::Dialect;
@@ -19,7 +19,7 @@
 /// write several times a second, so a long poll for the next record would return at once.
 pub async fn follow_endpoints<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     // Endpoints that another box sent at the start need not be listed.
     let mut is_listed = entry.is_updated_by_peers() && !entry.is_seed.get();
@@ -46,10 +46,10 @@
     let Some(page) = record_log_result(entry, log, log.newest(Topic::Endpoints).await) else { return false };
     let listed: BTreeSet<String> = page.records.iter().map(|record| record.key.clone()).collect();
     let from = resume_position(&page);
-    entry.state.borrow_mut().catalog.note_listing(page.next);
+    entry.state.borrow_mut().catalog.on_listing_end(page.next);
     apply_endpoint_records(entry, &page.records);
     let now_ms = entry.clock.now_ms();
-    let missing = entry.state.borrow_mut().catalog.keep_only(&listed, from, now_ms);
+    let missing = entry.state.borrow_mut().catalog.retain_listed(&listed, from, now_ms);
     entry.apply_endpoint_changes(missing);
     entry.state.borrow_mut().reading.advance(from, asked_ms);
     true
@@ -67,7 +67,7 @@
 /// Waits for one pause, and returns whether this box has to read by then. Others may have sent it enough.
 async fn wait_until_read_due<D: Dialect>(entry: &Entry<D>) -> bool {
     let pause = Duration::from_millis(entry.state.borrow().reading.pause_ms());
-    if entry.duty() == Duty::Reads {
+    if entry.duty() == ReadRole::Reader {
         tokio::time::sleep(pause).await;
         return true;
     }
@@ -84,7 +84,7 @@
 /// Reads the records since the last read; `false` if the log failed.
 async fn read_changes<D: Dialect, L: KeyedLog>(entry: &Rc<Entry<D>>, log: &L) -> bool {
     let asked_ms = entry.clock.now_ms();
-    let Some(from) = entry.state.borrow().reading.next() else { return false };
+    let Some(from) = entry.state.borrow().reading.next_position() else { return false };
     let Some(page) = record_log_result(entry, log, log.read(Topic::Endpoints, from, 0).await) else { return false };
     if page.next.era != from.era {
         return false;
@@ -109,7 +109,7 @@
     let leaves = |id: &str| state.pool.record(id).is_none_or(|record| record.is_leaving);
     let left = known_before.into_iter().filter(|id| leaves(id));
     left.filter_map(|id| {
-        let (position, record) = state.catalog.told(&id)?;
+        let (position, record) = state.catalog.published(&id)?;
         Some(PeerEndpoint { id, position, record: record.cloned() })
     })
     .collect()
@@ -117,7 +117,7 @@
 
 fn expire_overdue<D: Dialect>(entry: &Entry<D>) {
     let now_ms = entry.clock.now_ms();
-    let overdue = entry.state.borrow_mut().catalog.overdue(now_ms);
+    let overdue = entry.state.borrow_mut().catalog.expire_unconfirmed(now_ms);
     entry.apply_endpoint_changes(overdue);
 }
 
--- a/crates/ochreyard-direct/src/follow/quarantine.rs
+++ b/crates/ochreyard-direct/src/follow/quarantine.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use ochreyard_core::direct::{Duty, Fingerprint, QuarantineNews, RetryPauses, VerdictNews};
+use ochreyard_core::direct::{Fingerprint, LogRetryBackoff, QuarantineEntry, QuarantineUpdate, ReadRole};
 use serde::{Deserialize, Serialize};
 
 use super::record_log_result;
@@ -24,10 +24,10 @@
 /// the log is restored from an older copy, the known verdicts and releases are written again, since the copy may hold a
 /// verdict that was released after it was made.
 pub async fn sync_verdicts<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
-    let mut pauses = RetryPauses::default();
+    let mut pauses = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     // A box that sent the other state sent the verdicts, too.
-    let is_up_to_date = |entry: &Entry<D>| entry.duty() == Duty::Told && entry.is_updated_by_peers();
+    let is_up_to_date = |entry: &Entry<D>| entry.duty() == ReadRole::Follower && entry.is_updated_by_peers();
     while !is_up_to_date(&entry) && !read_verdicts(&entry, &log).await {
         tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
     }
@@ -53,12 +53,12 @@
     let Some(page) = record_log_result(entry, log, log.newest(Topic::Quarantine).await) else { return false };
     let now_ms = entry.clock.now_ms();
     let verdicts = page.records.iter().filter_map(|record| parse_verdict(record, now_ms)).collect();
-    entry.apply_quarantine_update(&QuarantineNews { verdicts, ..QuarantineNews::default() });
+    entry.apply_quarantine_update(&QuarantineUpdate { entries: verdicts, ..QuarantineUpdate::default() });
     true
 }
 
 /// Parses the verdict of a record; `None` if it has expired, was released, or cannot be read.
-fn parse_verdict(record: &KeyedRecord, now_ms: u64) -> Option<VerdictNews> {
+fn parse_verdict(record: &KeyedRecord, now_ms: u64) -> Option<QuarantineEntry> {
     let value = record.value.as_ref()?;
     let parsed = record.key.parse::<Fingerprint>().ok().zip(serde_json::from_slice::<VerdictRecord>(value).ok());
     let Some((fingerprint, verdict)) = parsed else {
@@ -67,7 +67,7 @@
     };
     let left_ms = verdict.until_ms.saturating_sub(now_ms);
     let age_ms = now_ms.saturating_sub(verdict.made_ms);
-    (left_ms > 0).then_some(VerdictNews { fingerprint, age_ms, left_ms, times: verdict.times })
+    (left_ms > 0).then_some(QuarantineEntry { fingerprint, age_ms, left_ms, times: verdict.times })
 }
 
 /// Writes one verdict that is queued here; `false` if there is none, or the log failed.
@@ -86,7 +86,7 @@
 /// key.
 fn encode_verdict<D: Dialect>(entry: &Entry<D>, fingerprint: Fingerprint) -> Bytes {
     let now_ms = entry.clock.now_ms();
-    let Some(verdict) = entry.state.borrow().quarantine.verdict(fingerprint, now_ms) else { return Bytes::new() };
+    let Some(verdict) = entry.state.borrow().quarantine.entry(fingerprint, now_ms) else { return Bytes::new() };
     let record = VerdictRecord {
         made_ms: now_ms.saturating_sub(verdict.age_ms),
         until_ms: now_ms + verdict.left_ms,
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -10,7 +10,8 @@
 
 use http::Response;
 use ochreyard_core::direct::{
-    Arrival, EndpointLife, Fingerprint, Homes, LostRequest, Outcome, Pick, Route, RouteKind, WaitFacts,
+    AllowedRegions, Arrival, AttemptOutcome, EndpointIncarnation, Fingerprint, LostRequest, Pick, Route, RouteKind,
+    WaitFacts,
 };
 
 use crate::answer::{Answer, caller_response};
@@ -46,7 +47,7 @@
     /// The service that the request goes to.
     pub service: String,
     /// Regions in which the request may run.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// Accounts for the bytes of the request body.
     pub _buffered_body: BufferedBytes<D>,
     /// The request as it is sent to endpoints.
@@ -70,7 +71,7 @@
     /// Number of attempts that were refused because the whole group was stalled.
     pub stall_refusals: usize,
     /// Endpoint incarnations that were tried.
-    pub tried: Vec<EndpointLife>,
+    pub tried: Vec<EndpointIncarnation>,
     /// Whether an earlier attempt may have run.
     pub may_have_run: bool,
     /// Fingerprint of the request, computed when first needed.
@@ -170,8 +171,8 @@
     pub fn should_leave(&self, pick: &Pick) -> bool {
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
-        state.pool.should_leave(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
-            && state.budget.has_one(&self.service, now_ms)
+        state.pool.should_migrate(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
     }
 
     /// Counts an attempt. An endpoint that was not reached never received the request. If the whole group is stalled,
@@ -187,7 +188,7 @@
             return;
         }
         self.sent += u64::from(was_reached);
-        self.tried.push(pick.life());
+        self.tried.push(pick.incarnation());
     }
 
     fn is_service_stalled(&self) -> bool {
@@ -201,12 +202,12 @@
         let body = match tokio::time::timeout(wait, buffer.read_body(&mut answer.body, MAX_ANSWER_BYTES)).await {
             Ok(Ok(body)) => body,
             Ok(Err(BodyError::Interrupted(error))) => {
-                answer.in_flight.set_outcome(Outcome::Failed);
+                answer.in_flight.set_outcome(AttemptOutcome::Failed);
                 self.record_lost_attempt(&answer.pick, &format!("answer broke off: {error}")).await;
                 return None;
             }
             Ok(Err(cause)) => {
-                answer.in_flight.set_outcome(Outcome::Failed);
+                answer.in_flight.set_outcome(AttemptOutcome::Failed);
                 self.record_failed_attempt(&answer.pick, &format!("answer not read: {cause}"));
                 return None;
             }
@@ -216,7 +217,7 @@
             }
         };
         let failed = answer.head.status.is_server_error();
-        answer.in_flight.set_outcome(if failed { Outcome::Failed } else { Outcome::Good });
+        answer.in_flight.set_outcome(if failed { AttemptOutcome::Failed } else { AttemptOutcome::Success });
         if !failed {
             self.record_success();
         }
@@ -237,7 +238,7 @@
         self.stall_outcome.on_served();
         let took_ms = self.entry.clock.now_ms().saturating_sub(self.attempt_started_ms);
         let mut state = self.entry.state.borrow_mut();
-        state.queue(&self.service).time.note(took_ms);
+        state.queue(&self.service).service_time.record(took_ms);
         let is_any_suspected = !state.quarantine.is_empty();
         drop(state);
         if is_any_suspected {
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Choice, Clearance, EndpointPool, NoPick, Pick, Seeker};
+use ochreyard_core::direct::{DispatchDecision, EndpointPool, PendingRequest, Pick, PickError, QuarantineDecision};
 
 use super::Job;
 use crate::dialect::Dialect;
@@ -89,15 +89,15 @@
         }
         let entry = Rc::clone(&self.entry);
         let mut state = entry.state.borrow_mut();
-        if self.has_reached_endpoint && !state.budget.has_one(&self.service, now_ms) {
+        if self.has_reached_endpoint && !state.budget.has_retry(&self.service, now_ms) {
             return Err(GiveUpReason::Budget.into());
         }
         let boxes = state.boxes.len() as u64 + 1;
-        let seeker = Seeker { ticket: slot.map(QueueSlot::ticket), ..self.seeker() };
+        let seeker = PendingRequest { ticket: slot.map(QueueSlot::ticket), ..self.seeker() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.choose(pool, boxes, &seeker, entry.next_random(), now_ms) {
-            Choice::Go(pick) => {
+        match queue.decide(pool, boxes, &seeker, entry.next_random(), now_ms) {
+            DispatchDecision::Send(pick) => {
                 if self.has_reached_endpoint && state.budget.try_take(&self.service, now_ms) {
                     meters::on_retry(&self.service);
                 }
@@ -108,11 +108,11 @@
                 }
                 Ok(pick)
             }
-            Choice::Wait(facts) => {
+            DispatchDecision::Wait(facts) => {
                 self.last_wait_facts = Some(facts);
                 Err(NotPicked::Wait)
             }
-            Choice::GiveUp(facts) => {
+            DispatchDecision::GiveUp(facts) => {
                 self.last_wait_facts = Some(facts);
                 Err(give_up_reason(facts.no_pick, last, now_ms).into())
             }
@@ -130,21 +130,21 @@
         if state.quarantine.is_empty() {
             return Ok(false);
         }
-        match state.quarantine.clearance(self.fingerprint(), now_ms) {
-            Clearance::Free => Ok(false),
-            Clearance::Trial if self.may_have_run => Err(GiveUpReason::Failed),
-            Clearance::Trial => Ok(true),
-            Clearance::OnTrial { .. } if self.is_on_trial => Ok(false),
-            Clearance::OnTrial { left_ms } | Clearance::Quarantined { left_ms } => {
+        match state.quarantine.decision(self.fingerprint(), now_ms) {
+            QuarantineDecision::Allow => Ok(false),
+            QuarantineDecision::AllowAsTrial if self.may_have_run => Err(GiveUpReason::Failed),
+            QuarantineDecision::AllowAsTrial => Ok(true),
+            QuarantineDecision::WaitForTrial { .. } if self.is_on_trial => Ok(false),
+            QuarantineDecision::WaitForTrial { left_ms } | QuarantineDecision::Refuse { left_ms } => {
                 Err(GiveUpReason::Quarantined { left_ms })
             }
         }
     }
 
-    fn seeker(&self) -> Seeker<'_> {
-        Seeker {
+    fn seeker(&self) -> PendingRequest<'_> {
+        PendingRequest {
             service: &self.service,
-            homes: &self.homes,
+            allowed_regions: &self.homes,
             tried: &self.tried,
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
@@ -162,23 +162,23 @@
         self.route.kind.may_run_again()
             && self.sent < self.route.max_attempts
             && self.time_left_ms() >= MIN_ATTEMPT_MS
-            && state.budget.has_one(&self.service, now_ms)
+            && state.budget.has_retry(&self.service, now_ms)
             && self.has_other_endpoint(&state.pool, now_ms)
     }
 
     fn has_other_endpoint(&self, pool: &EndpointPool, now_ms: u64) -> bool {
         let urgency = self.seeker().urgency(now_ms);
-        pool.pick_within(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
+        pool.pick_in_regions(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
     }
 }
 
 /// Returns why a request that found no endpoint is given up; `last` says how its last attempt ended.
-const fn give_up_reason(no_pick: NoPick, last: GiveUpReason, now_ms: u64) -> GiveUpReason {
+const fn give_up_reason(no_pick: PickError, last: GiveUpReason, now_ms: u64) -> GiveUpReason {
     match no_pick {
-        NoPick::Nobody => last,
-        NoPick::Full => GiveUpReason::Full,
-        NoPick::Paused { until_ms } => GiveUpReason::Paused { left_ms: until_ms.saturating_sub(now_ms) },
-        NoPick::Limited { until_ms } => GiveUpReason::Limited { left_ms: until_ms.saturating_sub(now_ms) },
-        NoPick::Stands => GiveUpReason::Stands,
+        PickError::Nobody => last,
+        PickError::Full => GiveUpReason::Full,
+        PickError::Paused { until_ms } => GiveUpReason::Paused { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Limited { until_ms } => GiveUpReason::Limited { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Stands => GiveUpReason::Stands,
     }
 }
--- a/crates/ochreyard-direct/src/limits.rs
+++ b/crates/ochreyard-direct/src/limits.rs
@@ -1,26 +1,27 @@
 //! Rate limits of endpoints, and the shares that this box has of them.
 
-use ochreyard_core::direct::{LimitNews, Pick, Sharers, ToldLimit};
+use ochreyard_core::direct::{EndpointLimit, LimitUpdate, Pick, SharingBoxes};
 
 use crate::dialect::Dialect;
 use crate::entry::{Entry, State};
 
 impl<D: Dialect> Entry<D> {
     /// Applies endpoint limits from another box.
-    pub fn apply_limit_update(&self, update: &LimitNews) {
+    pub fn apply_limit_update(&self, update: &LimitUpdate) {
         if update.is_empty() {
             return;
         }
         let now_ms = self.clock.now_ms();
-        let changed = self.state.borrow_mut().pool.take_limit_news(update, now_ms);
+        let changed = self.state.borrow_mut().pool.apply_limit_update(update, now_ms);
         self.log_limits(&changed, "box");
     }
 
     /// Logs limits that became known, with this box's share of each.
-    pub fn log_limits(&self, limits: &[ToldLimit], source: &str) {
+    pub fn log_limits(&self, limits: &[EndpointLimit], source: &str) {
         let state = self.state.borrow();
         for reported in limits {
-            let pick = state.pool.record(&reported.endpoint).map(|record| Pick::of(&reported.endpoint, record));
+            let pick =
+                state.pool.record(&reported.endpoint).map(|record| Pick::from_record(&reported.endpoint, record));
             let Some(limit) = pick.and_then(|pick| state.pool.limit(&pick)) else { continue };
             let share = limit.share().map(|share| format!("{} in {} ms", share.count, share.window_ms));
             log::info!(
@@ -29,8 +30,8 @@
                 reported.rate.map_or_else(|| "none".to_owned(), |rate| rate.to_string()),
                 reported.age_ms,
                 share.as_deref().unwrap_or("all"),
-                limit.place().rank,
-                limit.place().boxes
+                limit.share_rank().rank,
+                limit.share_rank().boxes
             );
         }
     }
@@ -47,8 +48,8 @@
     /// Divides limits and budgets among all boxes again, after the list of boxes changed.
     pub(crate) fn redistribute_shares(&self, state: &mut State) {
         let names = state.boxes.iter().map(|(name, _)| name);
-        let sharers = Sharers::new(&self.identity.name, names, state.knows_all_boxes);
+        let sharers = SharingBoxes::new(&self.identity.name, names, state.knows_all_boxes);
         state.budget.set_boxes(sharers.count());
-        state.pool.set_sharers(sharers);
+        state.pool.set_sharing_boxes(sharers);
     }
 }
--- a/crates/ochreyard-direct/src/log_duty.rs
+++ b/crates/ochreyard-direct/src/log_duty.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use ochreyard_core::direct::{Duty, RetryPauses};
+use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
 use crate::dialect::Dialect;
 use crate::entry::Entry;
@@ -20,15 +20,15 @@
 
 impl<D: Dialect> Entry<D> {
     /// How this box learns what the log holds.
-    pub fn duty(&self) -> Duty {
-        Duty::of(self.identity.own(), &self.state.borrow().boxes, self.clock.now_ms())
+    pub fn duty(&self) -> ReadRole {
+        ReadRole::of(self.identity.own(), &self.state.borrow().boxes, self.clock.now_ms())
     }
 
     /// Returns whether other boxes have sent this one the full state, and a recent update.
     pub fn is_updated_by_peers(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
-        state.table.is_some() && state.reading.is_told(now_ms)
+        state.table.is_some() && state.reading.has_fresh_peer(now_ms)
     }
 
     /// Returns whether the endpoint records are fresh, whichever box read them.
@@ -48,7 +48,7 @@
         let mut state = self.state.borrow_mut();
         state.boxes.on_heard(from, now_ms);
         for name in silent.iter().filter(|name| **name != self.identity.name) {
-            state.boxes.take_silent(name, now_ms);
+            state.boxes.apply_reported_silence(name, now_ms);
         }
     }
 
@@ -63,14 +63,14 @@
     /// Waits for as long as others keep this box current. If they do not, one call of its own, the read of endpoint
     /// records, finds out whether the log answers; all other reads wait for that.
     pub async fn wait_while_updated_by_peers(&self) {
-        while self.duty() == Duty::Told && (self.is_updated_by_peers() || !self.state.borrow().log_answers) {
+        while self.duty() == ReadRole::Follower && (self.is_updated_by_peers() || !self.state.borrow().log_answers) {
             tokio::time::sleep(UPDATED_CHECK_INTERVAL).await;
         }
     }
 
     /// Returns the delay before the next call to the log after a failed one.
-    pub fn retry_delay(&self, pauses: &mut RetryPauses) -> Duration {
-        let in_time_ms = self.state.borrow().reading.in_time_ms();
-        Duration::from_millis(pauses.after_failure(self.duty(), in_time_ms, self.next_random()))
+    pub fn retry_delay(&self, pauses: &mut LogRetryBackoff) -> Duration {
+        let in_time_ms = self.state.borrow().reading.leave_propagation_ms();
+        Duration::from_millis(pauses.next_delay_ms(self.duty(), in_time_ms, self.next_random()))
     }
 }
--- a/crates/ochreyard-direct/src/peers/broadcast.rs
+++ b/crates/ochreyard-direct/src/peers/broadcast.rs
@@ -9,7 +9,7 @@
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use ochreyard_core::direct::{BoxRecord, GroupNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{BoxRecord, GroupUpdate, LimitUpdate, QuarantineUpdate};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
@@ -38,7 +38,7 @@
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>);
 }
 
-impl PeerUpdate for GroupNews {
+impl PeerUpdate for GroupUpdate {
     const PATH: &'static str = "/group";
 
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
@@ -46,7 +46,7 @@
     }
 }
 
-impl PeerUpdate for QuarantineNews {
+impl PeerUpdate for QuarantineUpdate {
     const PATH: &'static str = "/quarantine";
 
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
@@ -54,7 +54,7 @@
     }
 }
 
-impl PeerUpdate for LimitNews {
+impl PeerUpdate for LimitUpdate {
     const PATH: &'static str = "/limits";
 
     fn apply<D: Dialect>(&self, entry: &Rc<Entry<D>>) {
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreyard_core::direct::{BoxRecord, EvacuationNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{BoxRecord, EvacuationUpdate, LimitUpdate, QuarantineUpdate};
 use serde::{Deserialize, Serialize};
 
 use super::peer_endpoint::PeerEndpoint;
@@ -16,7 +16,7 @@
     pub config: Option<String>,
     /// Known evacuations of data centres.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub evacuations: Vec<EvacuationNews>,
+    pub evacuations: Vec<EvacuationUpdate>,
     /// Endpoints that changed since the position named by the requester.
     pub endpoints: Vec<PeerEndpoint>,
     /// How far the endpoint records were read, and how long ago.
@@ -30,11 +30,11 @@
     #[serde(default)]
     pub knows_all_boxes: bool,
     /// Endpoint limits that became known since the last query.
-    #[serde(default, skip_serializing_if = "LimitNews::is_empty")]
-    pub limits: LimitNews,
+    #[serde(default, skip_serializing_if = "LimitUpdate::is_empty")]
+    pub limits: LimitUpdate,
     /// Findings on requests that crash endpoints since the last query.
-    #[serde(default, skip_serializing_if = "QuarantineNews::is_empty")]
-    pub quarantine: QuarantineNews,
+    #[serde(default, skip_serializing_if = "QuarantineUpdate::is_empty")]
+    pub quarantine: QuarantineUpdate,
     /// Whether the box has sent the full state to as many boxes as it can for now: the requester should ask one of
     /// `boxes`.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
--- a/crates/ochreyard-direct/src/peers/poll.rs
+++ b/crates/ochreyard-direct/src/peers/poll.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ochreyard_core::direct::Questions;
+use ochreyard_core::direct::PollSchedule;
 
 use super::peer_reading::PeerReading;
 use super::peer_state::PeerState;
@@ -29,11 +29,11 @@
 /// Polls other boxes until the process ends. `seeds` are addresses that are polled in addition to the known boxes.
 pub async fn poll_peers<D: Dialect>(entry: Rc<Entry<D>>, seeds: Vec<SocketAddr>) {
     let mut clients: BTreeMap<SocketAddr, Rc<HttpClient>> = BTreeMap::new();
-    let mut questions = Questions::default();
+    let mut schedule = PollSchedule::default();
     loop {
         let needs_config = entry.state.borrow().table.is_none();
         tokio::time::sleep(if needs_config { INITIAL_POLL_INTERVAL } else { POLL_INTERVAL }).await;
-        for (addr, role) in peers_to_poll(&entry, &seeds, &mut questions) {
+        for (addr, role) in peers_to_poll(&entry, &seeds, &mut schedule) {
             let client = clients.entry(addr).or_insert_with(|| Rc::new(HttpClient::new(addr)));
             tokio::task::spawn_local(poll(Rc::clone(&entry), Rc::clone(client), role));
         }
@@ -53,7 +53,7 @@
 fn peers_to_poll<D: Dialect>(
     entry: &Entry<D>,
     seeds: &[SocketAddr],
-    questions: &mut Questions,
+    schedule: &mut PollSchedule,
 ) -> Vec<(SocketAddr, PeerRole)> {
     let state = entry.state.borrow();
     let needs_config = state.table.is_none();
@@ -61,10 +61,10 @@
     let is_current = has_fresh_log_state && !needs_config && entry.is_initialized();
     if is_current && !state.boxes.is_empty() {
         let now_ms = entry.clock.now_ms();
-        let asked = questions.next(&state.reading, entry.identity.own(), &state.boxes, entry.next_random(), now_ms);
-        let relied_on = asked.relied_on.map(|addr| (addr, PeerRole::Source));
-        let any = asked.any.map(|addr| random_seed(entry, seeds).unwrap_or(addr));
-        return relied_on.into_iter().chain(any.map(|addr| (addr, PeerRole::Any))).collect();
+        let asked = schedule.next(&state.reading, entry.identity.own(), &state.boxes, entry.next_random(), now_ms);
+        let source = asked.source.map(|addr| (addr, PeerRole::Source));
+        let random = asked.random.map(|addr| random_seed(entry, seeds).unwrap_or(addr));
+        return source.into_iter().chain(random.map(|addr| (addr, PeerRole::Any))).collect();
     }
     let own = entry.identity.record.addr;
     let mut addrs: Vec<SocketAddr> =
@@ -98,9 +98,9 @@
         Err(error) => {
             log::debug!("event=peer_silent addr={} error=\"{error}\"", client.addr());
             let mut state = entry.state.borrow_mut();
-            state.boxes.on_unanswered(client.addr(), asked_ms);
+            state.boxes.on_poll_unanswered(client.addr(), asked_ms);
             if role == PeerRole::Source {
-                state.reading.pass_over();
+                state.reading.skip_source();
             }
             return;
         }
@@ -117,7 +117,7 @@
         version: state.table.as_ref().map(|table| table.version()),
         name: Some(entry.identity.name.clone()),
         record: Some(entry.identity.record.clone()),
-        from: Some(state.reading.next().unwrap_or_default()),
+        from: Some(state.reading.next_position().unwrap_or_default()),
         boxes: Some((state.boxes.len(), state.boxes.digest((&entry.identity.name, &entry.identity.record)))),
         cursor: entry.sync_cursor(to),
     }
@@ -149,7 +149,7 @@
         Some(_) => {}
         None if role == PeerRole::Any => {}
         // This peer has no read progress to offer now: another box is polled next time.
-        None => entry.state.borrow_mut().reading.pass_over(),
+        None => entry.state.borrow_mut().reading.skip_source(),
     }
     entry.apply_peer_endpoints(answer.endpoints);
     for (name, record) in answer.boxes {
@@ -173,7 +173,7 @@
     let as_of_ms = asked_ms.saturating_sub(reading.age_ms);
     let now_ms = entry.clock.now_ms();
     let mut state = entry.state.borrow_mut();
-    if state.reading.take_told(reading.next, as_of_ms, now_ms) {
+    if state.reading.apply_peer_progress(reading.next, as_of_ms, now_ms) {
         state.catalog.on_log_read(now_ms);
     }
 }
--- a/crates/ochreyard-direct/src/peers/state_answer.rs
+++ b/crates/ochreyard-direct/src/peers/state_answer.rs
@@ -62,19 +62,24 @@
         if query.cursor.incarnation == entry.identity.incarnation { query.cursor } else { SyncCursor::default() };
     PeerState {
         config: newer_config(&state, query.version),
-        evacuations: state.evacuations.news().collect(),
+        evacuations: state.evacuations.updates().collect(),
         endpoints: query.from.map_or_else(Vec::new, |from| changed_since(&state, from)),
         reading: query.from.and_then(|_| peer_reading(&state, entry.clock.now_ms())),
         boxes: missing_boxes(entry, &state, query.boxes, cursor.boxes),
-        silent_boxes: state.boxes.silent(entry.clock.now_ms()).take(MAX_SILENT_BOXES).map(str::to_owned).collect(),
+        silent_boxes: state
+            .boxes
+            .locally_silent(entry.clock.now_ms())
+            .take(MAX_SILENT_BOXES)
+            .map(str::to_owned)
+            .collect(),
         knows_all_boxes: state.knows_all_boxes,
-        limits: state.pool.limit_news_since(cursor.limits, entry.clock.now_ms()),
-        quarantine: state.quarantine.news_since(cursor.quarantine, entry.clock.now_ms()),
+        limits: state.pool.limit_update_since(cursor.limits, entry.clock.now_ms()),
+        quarantine: state.quarantine.update_since(cursor.quarantine, entry.clock.now_ms()),
         cursor: SyncCursor {
             incarnation: entry.identity.incarnation,
-            boxes: state.boxes.learned(),
-            quarantine: state.quarantine.changes(),
-            limits: state.pool.limit_changes(),
+            boxes: state.boxes.learned_count(),
+            quarantine: state.quarantine.version(),
+            limits: state.pool.limit_version(),
         },
         is_busy: false,
     }
@@ -95,7 +100,7 @@
 }
 
 fn peer_reading(state: &State, now_ms: u64) -> Option<PeerReading> {
-    let next = state.reading.next()?;
+    let next = state.reading.next_position()?;
     // While a lapsed record may still be restored, the read progress is withheld: the requester must not take the
     // returned endpoints for a complete list.
     state.catalog.is_settled().then(|| PeerReading { next, age_ms: state.reading.age_ms(now_ms) })
@@ -121,7 +126,7 @@
         return state.boxes.iter().map(owned).chain(own_box).collect();
     }
     let is_first_query = seen == 0;
-    let since = if is_first_query { state.boxes.learned().saturating_sub(RECENT_BOXES) } else { seen };
+    let since = if is_first_query { state.boxes.learned_count().saturating_sub(RECENT_BOXES) } else { seen };
     let recent = state.boxes.learned_since(since);
     let others = state.boxes.sample(SAMPLED_BOXES, identity.incarnation ^ entry.clock.now_ms());
     recent.chain(others).map(owned).chain(own_box).collect()
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt;
 use http::{HeaderValue, Response};
 use http_body_util::BodyExt;
-use ochreyard_core::direct::{EventSplitter, Outcome, Pick, RouteKind};
+use ochreyard_core::direct::{AttemptOutcome, EventSplitter, Pick, RouteKind};
 
 use crate::answer::{Answer, caller_response};
 use crate::answer_body::{AnswerAborted, AnswerBody};
@@ -96,17 +96,17 @@
                 answer.in_flight.on_heard();
                 let data = frame.into_data().unwrap_or_default();
                 let complete = self.splitter.push(&data);
-                if self.splitter.part_bytes() > MAX_EVENT_BYTES {
+                if self.splitter.partial_event_bytes() > MAX_EVENT_BYTES {
                     return Step::Broken { cause: "event exceeds the size limit".to_owned(), is_lost: false };
                 }
                 if complete.count == 0 { Step::Partial } else { Step::Events(complete.bytes) }
             }
             Ok(Some(Err(error))) => Step::Broken { cause: error.to_string(), is_lost: true },
-            Ok(None) if self.splitter.has_part() => {
+            Ok(None) if self.splitter.has_partial_event() => {
                 Step::Broken { cause: "stream ended within an event".to_owned(), is_lost: true }
             }
             Ok(None) => {
-                answer.in_flight.set_outcome(Outcome::Good);
+                answer.in_flight.set_outcome(AttemptOutcome::Success);
                 self.job.record_success();
                 meters::on_answer(&self.job.service, "whole", self.job.elapsed_ms());
                 if let Some(answer) = self.answer.take() {
@@ -131,8 +131,8 @@
     /// Drops the current answer, which closes its connection.
     fn drop_answer(&mut self) -> Option<Pick> {
         let answer = self.answer.take()?;
-        answer.in_flight.set_outcome(Outcome::Failed);
-        self.splitter.drop_part();
+        answer.in_flight.set_outcome(AttemptOutcome::Failed);
+        self.splitter.discard_partial_event();
         Some(answer.pick.clone())
     }
 
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use ochreyard_core::direct::{GroupNews, LimitNews, QuarantineNews};
+use ochreyard_core::direct::{GroupUpdate, LimitUpdate, QuarantineUpdate};
 use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -143,14 +143,14 @@
             let query = request.uri().query().unwrap_or_default();
             Response::new(AnswerBody::complete(peers::answer_state_query(entry, query)))
         }
-        (ListenerKind::Peers, &Method::POST, GroupNews::PATH) => {
-            empty_response(peers::receive_update::<D, GroupNews>(entry, request).await)
+        (ListenerKind::Peers, &Method::POST, GroupUpdate::PATH) => {
+            empty_response(peers::receive_update::<D, GroupUpdate>(entry, request).await)
         }
-        (ListenerKind::Peers, &Method::POST, QuarantineNews::PATH) => {
-            empty_response(peers::receive_update::<D, QuarantineNews>(entry, request).await)
+        (ListenerKind::Peers, &Method::POST, QuarantineUpdate::PATH) => {
+            empty_response(peers::receive_update::<D, QuarantineUpdate>(entry, request).await)
         }
-        (ListenerKind::Peers, &Method::POST, LimitNews::PATH) => {
-            empty_response(peers::receive_update::<D, LimitNews>(entry, request).await)
+        (ListenerKind::Peers, &Method::POST, LimitUpdate::PATH) => {
+            empty_response(peers::receive_update::<D, LimitUpdate>(entry, request).await)
         }
         (ListenerKind::Peers, &Method::POST, OperatorUpdate::PATH) => {
             empty_response(peers::receive_update::<D, OperatorUpdate>(entry, request).await)
--- a/crates/ochreyard-lead/src/service_watch.rs
+++ b/crates/ochreyard-lead/src/service_watch.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use ochreyard_core::group_map::{Candidacy, candidate_place};
+use ochreyard_core::group_map::{Candidacy, candidate_position};
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_rank::Engines;
 
@@ -58,7 +58,7 @@
     /// Leads a group that nobody leads, if there is one and it is this entry's turn.
     async fn look(&mut self) {
         let now_ms = self.entry.clock.now_ms();
-        let unled = self.entry.state.borrow().pool.unled_groups(&self.service, now_ms);
+        let unled = self.entry.state.borrow().pool.leaderless_groups(&self.service, now_ms);
         let place = self.place();
         if !self.candidacy.is_due(unled, place, now_ms) {
             return;
@@ -72,7 +72,7 @@
             self.service,
             group.as_ref().map_or("-", |members| members.group.as_str())
         );
-        self.candidacy.on_tried(self.entry.clock.now_ms());
+        self.candidacy.on_attempt(self.entry.clock.now_ms());
         if let Some(members) = group {
             self.start_leading(members);
         }
@@ -85,7 +85,7 @@
         let own = (self.entry.identity.name.as_str(), &self.entry.identity.record);
         let is_slow = self.entry.clock.now_ms() < self.slow_until_ms.get();
         let passes = self.led.borrow().len() + usize::from(is_slow);
-        candidate_place(&self.service, own, &state.boxes) + passes * state.boxes.len()
+        candidate_position(&self.service, own, &state.boxes) + passes * state.boxes.len()
     }
 
     fn engines_known(&self) -> Vec<EngineAt> {
@@ -106,7 +106,7 @@
         groups.retain(|group, ranks| {
             let is_granted = ranks.iter().any(|rank| rank.holder.is_some());
             let is_tried = self.led.borrow().contains(group);
-            !is_granted && !is_tried && state.pool.is_unled(&self.service, group, now_ms)
+            !is_granted && !is_tried && state.pool.is_group_leaderless(&self.service, group, now_ms)
         });
         let at = place.checked_rem(groups.len())?;
         let (group, ranks) = groups.into_iter().nth(at)?;
