--- a/crates/ochreyard-direct/src/containment.rs
+++ b/crates/ochreyard-direct/src/containment.rs
@@ -35,10 +35,10 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         state.pool.on_crash(&pick.id, at_ms);
-        let judged = state.quarantine.on_crash(&pick.id, service, lost, at_ms, now_ms);
+        let quarantined = state.quarantine.on_crash(&pick.id, service, lost, at_ms, now_ms);
         drop(state);
-        self.record_judged(&judged, "seen");
-        judged.iter().for_each(|verdict| self.queue_verdict_write(verdict.fingerprint));
+        self.record_quarantined(&quarantined, "seen");
+        quarantined.iter().for_each(|verdict| self.queue_verdict_write(verdict.fingerprint));
         self.broadcast_crash(pick, service, lost, now_ms.saturating_sub(at_ms));
     }
 
@@ -87,11 +87,13 @@
         for crash in &update.crashes {
             state.pool.on_crash(&crash.endpoint, now_ms.saturating_sub(crash.age_ms));
         }
-        let judged = state.quarantine.apply_update(update, now_ms);
+        let quarantined = state.quarantine.apply_update(update, now_ms);
         drop(state);
-        self.record_judged(&judged, "told");
-        let to_write =
-            judged.iter().map(|verdict| verdict.fingerprint).filter(|fingerprint| self.is_verdict_writer(*fingerprint));
+        self.record_quarantined(&quarantined, "told");
+        let to_write = quarantined
+            .iter()
+            .map(|verdict| verdict.fingerprint)
+            .filter(|fingerprint| self.is_verdict_writer(*fingerprint));
         to_write.for_each(|fingerprint| self.queue_verdict_write(fingerprint));
     }
 
@@ -129,8 +131,8 @@
         broadcast(self, &update);
     }
 
-    fn record_judged(&self, judged: &[QuarantinedRequest], source: &str) {
-        for QuarantinedRequest { fingerprint, times, for_ms, crashes } in judged {
+    fn record_quarantined(&self, quarantined: &[QuarantinedRequest], source: &str) {
+        for QuarantinedRequest { fingerprint, times, for_ms, crashes } in quarantined {
             meters::on_quarantined();
             log::warn!(
                 "event=request_quarantined fingerprint={fingerprint} source={source} times={times} for_ms={for_ms} \
--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -149,9 +149,9 @@
     }
 
     /// Returns the box to poll for endpoint records; `None` if this box reads the log for others.
-    pub fn box_to_ask(&self) -> Option<SocketAddr> {
+    pub fn poll_source(&self) -> Option<SocketAddr> {
         let state = self.state.borrow();
-        state.reading.source(self.identity.own(), &state.boxes, self.clock.now_ms())
+        state.log_progress.source(self.identity.local_box(), &state.boxes, self.clock.now_ms())
     }
 
     /// Applies a configuration if it is newer than the one in force, whatever its source, and returns whether it did.
--- a/crates/ochreyard-direct/src/entry/identity.rs
+++ b/crates/ochreyard-direct/src/entry/identity.rs
@@ -18,7 +18,7 @@
 impl Identity {
     /// Returns this box as the core sees it when it assigns duties among all boxes.
     #[must_use]
-    pub fn own(&self) -> LocalBox<'_> {
+    pub fn local_box(&self) -> LocalBox<'_> {
         LocalBox { name: &self.name, data_centre: &self.data_centre }
     }
 }
--- a/crates/ochreyard-direct/src/entry/state.rs
+++ b/crates/ochreyard-direct/src/entry/state.rs
@@ -22,7 +22,7 @@
     /// The data centres that operators have evacuated.
     pub evacuations: Evacuations,
     /// How far and how recently the endpoint records were read, by this box or by another one.
-    pub reading: LogProgress,
+    pub log_progress: LogProgress,
     /// The endpoints with their load, as seen from this box.
     pub pool: EndpointPool,
     /// Kept connections to endpoints.
@@ -52,7 +52,7 @@
             config_document: Bytes::new(),
             catalog: Catalog::new(),
             evacuations: Evacuations::default(),
-            reading: LogProgress::new(leaving_known_ms),
+            log_progress: LogProgress::new(leaving_known_ms),
             pool: EndpointPool::new(),
             connections: ConnectionPool::default(),
             budget: SharedRetryBudget::new(limits, SharingBoxes::default().count()),
--- a/crates/ochreyard-direct/src/follow/boxes.rs
+++ b/crates/ochreyard-direct/src/follow/boxes.rs
@@ -20,7 +20,7 @@
 pub async fn follow_boxes<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
     let mut is_registered = false;
-    let mut pauses = LogRetryBackoff::default();
+    let mut retry_backoff = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     loop {
         entry.wait_while_updated_by_peers().await;
@@ -44,10 +44,10 @@
             entry.has_initial_sync.set(true);
         }
         if page.is_some() && is_registered {
-            pauses.reset();
+            retry_backoff.reset();
         }
-        let pause = match entry.duty() {
-            _ if page.is_none() || !is_registered => entry.retry_delay(&mut pauses),
+        let pause = match entry.read_role() {
+            _ if page.is_none() || !is_registered => entry.retry_delay(&mut retry_backoff),
             ReadRole::Reader => READ_INTERVAL,
             ReadRole::Relay | ReadRole::Follower => RELAY_READ_INTERVAL,
         };
--- a/crates/ochreyard-direct/src/follow/config.rs
+++ b/crates/ochreyard-direct/src/follow/config.rs
@@ -21,26 +21,26 @@
 /// little.
 pub async fn follow_config<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
-    let mut pauses = LogRetryBackoff::default();
+    let mut retry_backoff = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     'outage: loop {
         entry.wait_while_updated_by_peers().await;
         let listing = log.newest(Topic::Config).await;
         let Some(page) = record_log_result(&entry, &log, listing) else {
-            tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+            tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
             continue;
         };
-        pauses.reset();
+        retry_backoff.reset();
         let version = entry.config_version();
         entry.apply_operator_listing(&page);
         entry.broadcast_operator_update(version);
         let mut from = resume_position(&page);
         loop {
-            let wait_ms = match entry.duty() {
+            let wait_ms = match entry.read_role() {
                 ReadRole::Reader => READER_LONG_POLL_MS,
                 ReadRole::Relay => RELAY_LONG_POLL_MS,
                 ReadRole::Follower => {
-                    tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+                    tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
                     continue 'outage;
                 }
             };
@@ -70,6 +70,6 @@
                 }
             }
         }
-        tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+        tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
     }
 }
--- a/crates/ochreyard-direct/src/follow/endpoints.rs
+++ b/crates/ochreyard-direct/src/follow/endpoints.rs
@@ -19,7 +19,7 @@
 /// write several times a second, so a long poll for the next record would return at once.
 pub async fn follow_endpoints<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
     let mut log_restores = entry.log_restores.subscribe();
-    let mut pauses = LogRetryBackoff::default();
+    let mut retry_backoff = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     // Endpoints that another box sent at the start need not be listed.
     let mut is_listed = entry.is_updated_by_peers() && !entry.is_seed.get();
@@ -27,7 +27,7 @@
         log_restores.mark_unchanged();
         let was_restored = || log_restores.has_changed().unwrap_or(false);
         if is_listed || read_newest(&entry, &log).await {
-            pauses.reset();
+            retry_backoff.reset();
             while !was_restored() && refresh(&entry, &log).await {}
             is_listed = false;
             if was_restored() {
@@ -35,7 +35,7 @@
                 continue;
             }
         }
-        tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+        tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
         is_listed = entry.is_updated_by_peers();
     }
 }
@@ -51,7 +51,7 @@
     let now_ms = entry.clock.now_ms();
     let missing = entry.state.borrow_mut().catalog.retain_listed(&listed, from, now_ms);
     entry.apply_endpoint_changes(missing);
-    entry.state.borrow_mut().reading.advance(from, asked_ms);
+    entry.state.borrow_mut().log_progress.advance(from, asked_ms);
     true
 }
 
@@ -66,8 +66,8 @@
 
 /// Waits for one pause, and returns whether this box has to read by then. Others may have sent it enough.
 async fn wait_until_read_due<D: Dialect>(entry: &Entry<D>) -> bool {
-    let pause = Duration::from_millis(entry.state.borrow().reading.pause_ms());
-    if entry.duty() == ReadRole::Reader {
+    let pause = Duration::from_millis(entry.state.borrow().log_progress.pause_ms());
+    if entry.read_role() == ReadRole::Reader {
         tokio::time::sleep(pause).await;
         return true;
     }
@@ -76,7 +76,7 @@
         return false;
     }
     // Boxes that were kept current by the same box all lose their updates at once.
-    let jitter_ms = entry.next_random() % (entry.state.borrow().reading.pause_ms() + 1);
+    let jitter_ms = entry.next_random() % (entry.state.borrow().log_progress.pause_ms() + 1);
     tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
     !entry.has_fresh_endpoints()
 }
@@ -84,14 +84,14 @@
 /// Reads the records since the last read; `false` if the log failed.
 async fn read_changes<D: Dialect, L: KeyedLog>(entry: &Rc<Entry<D>>, log: &L) -> bool {
     let asked_ms = entry.clock.now_ms();
-    let Some(from) = entry.state.borrow().reading.next_position() else { return false };
+    let Some(from) = entry.state.borrow().log_progress.next_position() else { return false };
     let Some(page) = record_log_result(entry, log, log.read(Topic::Endpoints, from, 0).await) else { return false };
     if page.next.era != from.era {
         return false;
     }
     let known_before = known_active(entry, &page.records);
     apply_endpoint_records(entry, &page.records);
-    entry.state.borrow_mut().reading.advance(page.next, asked_ms);
+    entry.state.borrow_mut().log_progress.advance(page.next, asked_ms);
     entry.broadcast_leaving(newly_leaving(entry, known_before));
     true
 }
--- a/crates/ochreyard-direct/src/follow/quarantine.rs
+++ b/crates/ochreyard-direct/src/follow/quarantine.rs
@@ -24,14 +24,14 @@
 /// the log is restored from an older copy, the known verdicts and releases are written again, since the copy may hold a
 /// verdict that was released after it was made.
 pub async fn sync_verdicts<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
-    let mut pauses = LogRetryBackoff::default();
+    let mut retry_backoff = LogRetryBackoff::default();
     entry.wait_for_start_delay().await;
     // A box that sent the other state sent the verdicts, too.
-    let is_up_to_date = |entry: &Entry<D>| entry.duty() == ReadRole::Follower && entry.is_updated_by_peers();
+    let is_up_to_date = |entry: &Entry<D>| entry.read_role() == ReadRole::Follower && entry.is_updated_by_peers();
     while !is_up_to_date(&entry) && !read_verdicts(&entry, &log).await {
-        tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+        tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
     }
-    pauses.reset();
+    retry_backoff.reset();
     let mut log_restores = entry.log_restores.subscribe();
     loop {
         while write_next_verdict(&entry, &log).await {}
@@ -44,7 +44,7 @@
                 }
             }
         } else {
-            tokio::time::sleep(entry.retry_delay(&mut pauses)).await;
+            tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
         }
     }
 }
--- a/crates/ochreyard-direct/src/forward.rs
+++ b/crates/ochreyard-direct/src/forward.rs
@@ -88,7 +88,7 @@
     if table.needs_key() && !route.public && workspace.is_none() {
         return Err(ErrorKind::Unauthenticated);
     }
-    let homes = workspace.map_or_else(
+    let allowed_regions = workspace.map_or_else(
         || route.allowed_regions.clone(),
         |workspace| route.allowed_regions.intersect(&workspace.allowed_regions),
     );
@@ -106,7 +106,7 @@
     Ok(Job {
         entry: Rc::clone(entry),
         route: Arc::clone(route),
-        homes,
+        allowed_regions,
         _buffered_body: BufferedBytes::none(entry),
         request,
         deadline_ms: started_ms + timeout_ms,
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -47,7 +47,7 @@
     /// The service that the request goes to.
     pub service: String,
     /// Regions in which the request may run.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// Accounts for the bytes of the request body.
     pub _buffered_body: BufferedBytes<D>,
     /// The request as it is sent to endpoints.
@@ -158,7 +158,7 @@
             let now_ms = self.entry.clock.now_ms();
             let waited_ms = now_ms - started_ms;
             let is_silent = self.entry.state.borrow().pool.is_silent(&pick.id, silence_timeout_ms, now_ms);
-            if may_retry_elsewhere && self.should_leave(pick) {
+            if may_retry_elsewhere && self.should_migrate(pick) {
                 return Attempt::MayHaveRun { cause: SLOW_ENDPOINT.to_owned() };
             }
             if may_retry_elsewhere && waited_ms >= silence_timeout_ms && is_silent {
@@ -168,10 +168,10 @@
     }
 
     /// Returns whether the request should leave a slow endpoint, with a retry left to run elsewhere.
-    pub fn should_leave(&self, pick: &Pick) -> bool {
+    pub fn should_migrate(&self, pick: &Pick) -> bool {
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
-        state.pool.should_migrate(&pick.id, &self.homes, &self.service, &self.tried, now_ms)
+        state.pool.should_migrate(&pick.id, &self.allowed_regions, &self.service, &self.tried, now_ms)
             && state.budget.has_retry(&self.service, now_ms)
     }
 
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -47,7 +47,7 @@
                 Err(NotPicked::GiveUp(why)) => Err(why),
                 Err(NotPicked::Wait) => {
                     if slot.is_none() {
-                        slot = Some(QueueSlot::join(&self.entry, &self.seeker()));
+                        slot = Some(QueueSlot::join(&self.entry, &self.pending_request()));
                         if self.is_service_stalled() {
                             self.stall_outcome.on_held();
                         }
@@ -93,10 +93,10 @@
             return Err(GiveUpReason::Budget.into());
         }
         let boxes = state.boxes.len() as u64 + 1;
-        let seeker = PendingRequest { ticket: slot.map(QueueSlot::ticket), ..self.seeker() };
+        let request = PendingRequest { ticket: slot.map(QueueSlot::ticket), ..self.pending_request() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.decide(pool, boxes, &seeker, entry.next_random(), now_ms) {
+        match queue.decide(pool, boxes, &request, entry.next_random(), now_ms) {
             DispatchDecision::Send(pick) => {
                 if self.has_reached_endpoint && state.budget.try_take(&self.service, now_ms) {
                     meters::on_retry(&self.service);
@@ -141,10 +141,10 @@
         }
     }
 
-    fn seeker(&self) -> PendingRequest<'_> {
+    fn pending_request(&self) -> PendingRequest<'_> {
         PendingRequest {
             service: &self.service,
-            allowed_regions: &self.homes,
+            allowed_regions: &self.allowed_regions,
             tried: &self.tried,
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
@@ -167,14 +167,14 @@
     }
 
     fn has_other_endpoint(&self, pool: &EndpointPool, now_ms: u64) -> bool {
-        let urgency = self.seeker().urgency(now_ms);
-        pool.pick_in_regions(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
+        let urgency = self.pending_request().urgency(now_ms);
+        pool.pick_in_regions(&self.allowed_regions, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
     }
 }
 
 /// Returns why a request that found no endpoint is given up; `last` says how its last attempt ended.
-const fn give_up_reason(no_pick: PickError, last: GiveUpReason, now_ms: u64) -> GiveUpReason {
-    match no_pick {
+const fn give_up_reason(error: PickError, last: GiveUpReason, now_ms: u64) -> GiveUpReason {
+    match error {
         PickError::Nobody => last,
         PickError::Full => GiveUpReason::Full,
         PickError::Paused { until_ms } => GiveUpReason::Paused { left_ms: until_ms.saturating_sub(now_ms) },
--- a/crates/ochreyard-direct/src/limits.rs
+++ b/crates/ochreyard-direct/src/limits.rs
@@ -48,8 +48,8 @@
     /// Divides limits and budgets among all boxes again, after the list of boxes changed.
     pub(crate) fn redistribute_shares(&self, state: &mut State) {
         let names = state.boxes.iter().map(|(name, _)| name);
-        let sharers = SharingBoxes::new(&self.identity.name, names, state.knows_all_boxes);
-        state.budget.set_boxes(sharers.count());
-        state.pool.set_sharing_boxes(sharers);
+        let sharing_boxes = SharingBoxes::new(&self.identity.name, names, state.knows_all_boxes);
+        state.budget.set_boxes(sharing_boxes.count());
+        state.pool.set_sharing_boxes(sharing_boxes);
     }
 }
--- a/crates/ochreyard-direct/src/log_restore.rs
+++ b/crates/ochreyard-direct/src/log_restore.rs
@@ -26,7 +26,7 @@
         state.catalog.on_log_restored(era, before.map(|_| now_ms));
         state.evacuations.on_log_restored(era, now_ms);
         let Some(before) = before else { return };
-        let next = state.reading.next_position().unwrap_or_default();
+        let next = state.log_progress.next_position().unwrap_or_default();
         log::warn!("event=log_came_back era={era} before={before} read_up_to={next} source={source}");
         drop(state);
         meters::on_log_restored();
@@ -36,7 +36,7 @@
     /// Waits for a random part of the time over which all boxes read the log again, which bounds the calls per second.
     /// Boxes that read for others do not wait.
     pub async fn wait_restore_jitter(&self) {
-        let is_reader = self.duty() == ReadRole::Reader;
+        let is_reader = self.read_role() == ReadRole::Reader;
         let pause_ms = if is_reader { 0 } else { self.next_random() % RESTORE_READ_JITTER_MS };
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
--- a/crates/ochreyard-direct/src/log_updates.rs
+++ b/crates/ochreyard-direct/src/log_updates.rs
@@ -54,7 +54,7 @@
     /// copy then has to cross between data centres.
     pub fn broadcast_operator_update(self: &Rc<Self>, version_before: Option<u64>) {
         let state = self.state.borrow();
-        if !broadcasts_to_data_centre(self.identity.own(), &state.boxes, self.clock.now_ms()) {
+        if !broadcasts_to_data_centre(self.identity.local_box(), &state.boxes, self.clock.now_ms()) {
             return;
         }
         let version = state.table.as_ref().map(|table| table.version());
@@ -71,7 +71,7 @@
     pub fn broadcast_leaving(self: &Rc<Self>, endpoints: Vec<PeerEndpoint>) {
         let is_broadcaster = {
             let state = self.state.borrow();
-            broadcasts_to_fleet(self.identity.own(), &state.boxes, self.clock.now_ms())
+            broadcasts_to_fleet(self.identity.local_box(), &state.boxes, self.clock.now_ms())
         };
         if is_broadcaster && !endpoints.is_empty() {
             broadcast(self, &LeavingUpdate { endpoints });
--- a/crates/ochreyard-direct/src/meters.rs
+++ b/crates/ochreyard-direct/src/meters.rs
@@ -81,15 +81,17 @@
     let version = state.table.as_ref().map_or(0, |table| table.version());
     metrics::gauge!("ochreyard_direct_config_version").set(version as f64);
     metrics::gauge!("ochreyard_direct_endpoint_records_age_seconds")
-        .set(state.reading.age_ms(now_ms) as f64 / MS_PER_S);
+        .set(state.log_progress.age_ms(now_ms) as f64 / MS_PER_S);
     metrics::gauge!("ochreyard_direct_log_era").set(state.era.unwrap_or(0) as f64);
     metrics::gauge!("ochreyard_direct_log_answers").set(f64::from(u8::from(state.log_answers)));
     metrics::gauge!("ochreyard_direct_known_boxes").set(state.boxes.len() as f64);
     metrics::gauge!("ochreyard_direct_quarantined").set(state.quarantine.quarantined_count(now_ms) as f64);
     for (service, queue) in &state.queues {
-        let asking = state.pool.unavailable_counts(service, now_ms);
-        metrics::gauge!("ochreyard_direct_paused_endpoints", "service" => service.clone()).set(asking.paused as f64);
-        metrics::gauge!("ochreyard_direct_leaving_endpoints", "service" => service.clone()).set(asking.leaving as f64);
+        let unavailable = state.pool.unavailable_counts(service, now_ms);
+        metrics::gauge!("ochreyard_direct_paused_endpoints", "service" => service.clone())
+            .set(unavailable.paused as f64);
+        metrics::gauge!("ochreyard_direct_leaving_endpoints", "service" => service.clone())
+            .set(unavailable.leaving as f64);
         let limits = state.pool.limit_usage(service, now_ms);
         let gauge = |name: &'static str| metrics::gauge!(name, "service" => service.clone());
         gauge("ochreyard_direct_limited_endpoints").set(limits.endpoints as f64);
--- a/crates/ochreyard-direct/src/peers.rs
+++ b/crates/ochreyard-direct/src/peers.rs
@@ -7,7 +7,7 @@
 mod broadcast;
 mod full_sync_limiter;
 mod peer_endpoint;
-mod peer_reading;
+mod peer_log_progress;
 mod peer_state;
 mod poll;
 mod state_answer;
--- a/crates/ochreyard-direct/src/peers/peer_reading.rs
+++ b/crates/ochreyard-direct/src/peers/peer_log_progress.rs
@@ -5,7 +5,7 @@
 
 /// How far a box has read the endpoint records.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-pub struct PeerReading {
+pub struct PeerLogProgress {
     /// Position of the next record to read.
     pub next: Position,
     /// Time since the log was asked, in milliseconds.
--- a/crates/ochreyard-direct/src/peers/peer_state.rs
+++ b/crates/ochreyard-direct/src/peers/peer_state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::peer_endpoint::PeerEndpoint;
-use super::peer_reading::PeerReading;
+use super::peer_log_progress::PeerLogProgress;
 use crate::sync_cursor::SyncCursor;
 
 /// State that a box has and the requesting box may lack.
@@ -20,7 +20,8 @@
     /// Endpoints that changed since the position named by the requester.
     pub endpoints: Vec<PeerEndpoint>,
     /// How far the endpoint records were read, and how long ago.
-    pub reading: Option<PeerReading>,
+    #[serde(rename = "reading")]
+    pub log_progress: Option<PeerLogProgress>,
     /// This box, and others that it learned of since the last query.
     pub boxes: BTreeMap<String, BoxRecord>,
     /// Boxes that did not answer its queries.
--- a/crates/ochreyard-direct/src/peers/poll.rs
+++ b/crates/ochreyard-direct/src/peers/poll.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use ochreyard_core::direct::PollSchedule;
 
-use super::peer_reading::PeerReading;
+use super::peer_log_progress::PeerLogProgress;
 use super::peer_state::PeerState;
 use super::state_query::StateQuery;
 use crate::dialect::Dialect;
@@ -57,18 +57,19 @@
 ) -> Vec<(SocketAddr, PeerRole)> {
     let state = entry.state.borrow();
     let needs_config = state.table.is_none();
-    let has_fresh_log_state = state.log_answers || state.reading.is_fresh(entry.clock.now_ms());
+    let has_fresh_log_state = state.log_answers || state.log_progress.is_fresh(entry.clock.now_ms());
     let is_current = has_fresh_log_state && !needs_config && entry.is_initialized();
     if is_current && !state.boxes.is_empty() {
         let now_ms = entry.clock.now_ms();
-        let asked = schedule.next(&state.reading, entry.identity.own(), &state.boxes, entry.next_random(), now_ms);
-        let source = asked.source.map(|addr| (addr, PeerRole::Source));
-        let random = asked.random.map(|addr| random_seed(entry, seeds).unwrap_or(addr));
+        let targets =
+            schedule.next(&state.log_progress, entry.identity.local_box(), &state.boxes, entry.next_random(), now_ms);
+        let source = targets.source.map(|addr| (addr, PeerRole::Source));
+        let random = targets.random.map(|addr| random_seed(entry, seeds).unwrap_or(addr));
         return source.into_iter().chain(random.map(|addr| (addr, PeerRole::Any))).collect();
     }
-    let own = entry.identity.record.addr;
+    let own_addr = entry.identity.record.addr;
     let mut addrs: Vec<SocketAddr> =
-        state.boxes.addrs().chain(seeds.iter().copied()).filter(|addr| *addr != own).collect();
+        state.boxes.addrs().chain(seeds.iter().copied()).filter(|addr| *addr != own_addr).collect();
     addrs.sort_unstable();
     addrs.dedup();
     if addrs.is_empty() {
@@ -100,7 +101,7 @@
             let mut state = entry.state.borrow_mut();
             state.boxes.on_poll_unanswered(client.addr(), asked_ms);
             if role == PeerRole::Source {
-                state.reading.skip_source();
+                state.log_progress.skip_source();
             }
             return;
         }
@@ -117,7 +118,7 @@
         version: state.table.as_ref().map(|table| table.version()),
         name: Some(entry.identity.name.clone()),
         record: Some(entry.identity.record.clone()),
-        from: Some(state.reading.next_position().unwrap_or_default()),
+        from: Some(state.log_progress.next_position().unwrap_or_default()),
         boxes: Some((state.boxes.len(), state.boxes.digest((&entry.identity.name, &entry.identity.record)))),
         cursor: entry.sync_cursor(to),
     }
@@ -137,19 +138,19 @@
         entry.broadcast_operator_update(version);
     }
     entry.apply_evacuation_updates(&answer.evacuations);
-    if let Some(reading) = answer.reading.filter(|reading| reading.next.era > 0) {
-        entry.record_log_era(reading.next.era, "box");
+    if let Some(log_progress) = answer.log_progress.filter(|log_progress| log_progress.next.era > 0) {
+        entry.record_log_era(log_progress.next.era, "box");
     }
-    match answer.reading {
-        Some(reading) if role == PeerRole::Source => apply_reading(entry, reading, asked_ms),
+    match answer.log_progress {
+        Some(log_progress) if role == PeerRole::Source => apply_log_progress(entry, log_progress, asked_ms),
         // A box that no other box keeps current accepts fresh state from any peer.
-        Some(reading) if !entry.is_updated_by_peers() && is_fresh(entry, reading, asked_ms) => {
-            apply_reading(entry, reading, asked_ms);
+        Some(log_progress) if !entry.is_updated_by_peers() && is_fresh(entry, log_progress, asked_ms) => {
+            apply_log_progress(entry, log_progress, asked_ms);
         }
         Some(_) => {}
         None if role == PeerRole::Any => {}
         // This peer has no read progress to offer now: another box is polled next time.
-        None => entry.state.borrow_mut().reading.skip_source(),
+        None => entry.state.borrow_mut().log_progress.skip_source(),
     }
     entry.apply_peer_endpoints(answer.endpoints);
     for (name, record) in answer.boxes {
@@ -163,17 +164,17 @@
     entry.set_sync_cursor(from, answer.cursor);
 }
 
-fn is_fresh<D: Dialect>(entry: &Entry<D>, reading: PeerReading, asked_ms: u64) -> bool {
-    let as_of_ms = asked_ms.saturating_sub(reading.age_ms);
-    entry.state.borrow().reading.counts_as_fresh(as_of_ms, entry.clock.now_ms())
+fn is_fresh<D: Dialect>(entry: &Entry<D>, log_progress: PeerLogProgress, asked_ms: u64) -> bool {
+    let as_of_ms = asked_ms.saturating_sub(log_progress.age_ms);
+    entry.state.borrow().log_progress.counts_as_fresh(as_of_ms, entry.clock.now_ms())
 }
 
 /// Adopts the read progress of another box. If the log was unreachable, a box that reads it has reached it again.
-fn apply_reading<D: Dialect>(entry: &Entry<D>, reading: PeerReading, asked_ms: u64) {
-    let as_of_ms = asked_ms.saturating_sub(reading.age_ms);
+fn apply_log_progress<D: Dialect>(entry: &Entry<D>, log_progress: PeerLogProgress, asked_ms: u64) {
+    let as_of_ms = asked_ms.saturating_sub(log_progress.age_ms);
     let now_ms = entry.clock.now_ms();
     let mut state = entry.state.borrow_mut();
-    if state.reading.apply_peer_progress(reading.next, as_of_ms, now_ms) {
+    if state.log_progress.apply_peer_progress(log_progress.next, as_of_ms, now_ms) {
         state.catalog.on_log_read(now_ms);
     }
 }
--- a/crates/ochreyard-direct/src/peers/state_answer.rs
+++ b/crates/ochreyard-direct/src/peers/state_answer.rs
@@ -6,7 +6,7 @@
 use ochreyard_core::direct::{BoxRecord, Position};
 
 use super::peer_endpoint::PeerEndpoint;
-use super::peer_reading::PeerReading;
+use super::peer_log_progress::PeerLogProgress;
 use super::peer_state::PeerState;
 use super::state_query::StateQuery;
 use crate::dialect::Dialect;
@@ -64,7 +64,7 @@
         config: newer_config(&state, query.version),
         evacuations: state.evacuations.updates().collect(),
         endpoints: query.from.map_or_else(Vec::new, |from| changed_since(&state, from)),
-        reading: query.from.and_then(|_| peer_reading(&state, entry.clock.now_ms())),
+        log_progress: query.from.and_then(|_| peer_log_progress(&state, entry.clock.now_ms())),
         boxes: missing_boxes(entry, &state, query.boxes, cursor.boxes),
         silent_boxes: state
             .boxes
@@ -99,11 +99,11 @@
         .collect()
 }
 
-fn peer_reading(state: &State, now_ms: u64) -> Option<PeerReading> {
-    let next = state.reading.next_position()?;
+fn peer_log_progress(state: &State, now_ms: u64) -> Option<PeerLogProgress> {
+    let next = state.log_progress.next_position()?;
     // While a lapsed record may still be restored, the read progress is withheld: the requester must not take the
     // returned endpoints for a complete list.
-    state.catalog.is_settled().then(|| PeerReading { next, age_ms: state.reading.age_ms(now_ms) })
+    state.catalog.is_settled().then(|| PeerLogProgress { next, age_ms: state.log_progress.age_ms(now_ms) })
 }
 
 /// Returns the boxes that the requester may lack: none if its list is the same, all if it knows few, else those learned
--- a/crates/ochreyard-direct/src/queue_slot.rs
+++ b/crates/ochreyard-direct/src/queue_slot.rs
@@ -47,9 +47,9 @@
 
 impl<D: Dialect> QueueSlot<D> {
     /// Joins the wait queue.
-    pub fn join(entry: &Rc<Entry<D>>, seeker: &PendingRequest<'_>) -> Self {
+    pub fn join(entry: &Rc<Entry<D>>, request: &PendingRequest<'_>) -> Self {
         let since_ms = entry.clock.now_ms();
-        let PendingRequest { service, arrival, deadline_ms, silent_since_ms, .. } = *seeker;
+        let PendingRequest { service, arrival, deadline_ms, silent_since_ms, .. } = *request;
         let ticket = entry.state.borrow_mut().queue(service).wait_queue.join(arrival.on_time_until_ms, deadline_ms);
         let end = Cell::new(WaitEnd::CallerLeft);
         Self {
--- a/crates/ochreyard-direct/src/log_duty.rs
+++ b/crates/ochreyard-direct/src/read_role.rs
@@ -20,26 +20,26 @@
 
 impl<D: Dialect> Entry<D> {
     /// How this box learns what the log holds.
-    pub fn duty(&self) -> ReadRole {
-        ReadRole::of(self.identity.own(), &self.state.borrow().boxes, self.clock.now_ms())
+    pub fn read_role(&self) -> ReadRole {
+        ReadRole::of(self.identity.local_box(), &self.state.borrow().boxes, self.clock.now_ms())
     }
 
     /// Returns whether other boxes have sent this one the full state, and a recent update.
     pub fn is_updated_by_peers(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let state = self.state.borrow();
-        state.table.is_some() && state.reading.has_fresh_peer(now_ms)
+        state.table.is_some() && state.log_progress.has_fresh_peer(now_ms)
     }
 
     /// Returns whether the endpoint records are fresh, whichever box read them.
     pub fn has_fresh_endpoints(&self) -> bool {
-        self.state.borrow().reading.is_fresh(self.clock.now_ms())
+        self.state.borrow().log_progress.is_fresh(self.clock.now_ms())
     }
 
     /// Sets the seed boxes. A box that is one itself, or has none, reads the log at once.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
-        let own = self.identity.record.addr;
-        self.is_seed.set(seeds.contains(&own) || seeds.is_empty());
+        let own_addr = self.identity.record.addr;
+        self.is_seed.set(seeds.contains(&own_addr) || seeds.is_empty());
     }
 
     /// Records that another box answered, and which boxes did not answer it.
@@ -63,14 +63,15 @@
     /// Waits for as long as others keep this box current. If they do not, one call of its own, the read of endpoint
     /// records, finds out whether the log answers; all other reads wait for that.
     pub async fn wait_while_updated_by_peers(&self) {
-        while self.duty() == ReadRole::Follower && (self.is_updated_by_peers() || !self.state.borrow().log_answers) {
+        while self.read_role() == ReadRole::Follower && (self.is_updated_by_peers() || !self.state.borrow().log_answers)
+        {
             tokio::time::sleep(UPDATED_CHECK_INTERVAL).await;
         }
     }
 
     /// Returns the delay before the next call to the log after a failed one.
-    pub fn retry_delay(&self, pauses: &mut LogRetryBackoff) -> Duration {
-        let in_time_ms = self.state.borrow().reading.leave_propagation_ms();
-        Duration::from_millis(pauses.next_delay_ms(self.duty(), in_time_ms, self.next_random()))
+    pub fn retry_delay(&self, retry_backoff: &mut LogRetryBackoff) -> Duration {
+        let leave_propagation_ms = self.state.borrow().log_progress.leave_propagation_ms();
+        Duration::from_millis(retry_backoff.next_delay_ms(self.read_role(), leave_propagation_ms, self.next_random()))
     }
 }
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -80,7 +80,7 @@
     }
 
     async fn step(&mut self) -> Step {
-        let is_slow = self.answer.as_ref().is_some_and(|answer| self.job.should_leave(&answer.pick));
+        let is_slow = self.answer.as_ref().is_some_and(|answer| self.job.should_migrate(&answer.pick));
         if is_slow && self.may_resume() {
             return Step::Broken { cause: SLOW_ENDPOINT.to_owned(), is_lost: false };
         }
--- a/crates/ochreyard-direct/src/serve.rs
+++ b/crates/ochreyard-direct/src/serve.rs
@@ -72,7 +72,7 @@
     let entry = Rc::new(Entry::new(
         dialect,
         identity,
-        repeat_limits(settings),
+        retry_budget_limits(settings),
         settings.fraction("leaving_known_ms") as u64,
         clock,
     ));
@@ -120,7 +120,7 @@
     }
 }
 
-fn repeat_limits(settings: &Settings) -> RetryBudgetLimits {
+fn retry_budget_limits(settings: &Settings) -> RetryBudgetLimits {
     RetryBudgetLimits {
         ratio: settings.fraction("repeat_ratio"),
         fixed: settings.fraction("repeat_fixed") as u64,
--- a/crates/ochreyard-direct/src/stall_outcome.rs
+++ b/crates/ochreyard-direct/src/stall_outcome.rs
@@ -11,20 +11,20 @@
 pub struct StallOutcome<D: Dialect> {
     entry: Rc<Entry<D>>,
     service: String,
-    met: Option<StallHandling>,
+    handling: Option<StallHandling>,
     is_served: bool,
 }
 
 impl<D: Dialect> StallOutcome<D> {
     /// Starts a recorder. A returning caller was sent back before, since the service was stalled.
-    pub fn new(entry: &Rc<Entry<D>>, service: &str, has_come_back: bool) -> Self {
-        let met = has_come_back.then_some(StallHandling::CallerRetried);
-        Self { entry: Rc::clone(entry), service: service.to_owned(), met, is_served: false }
+    pub fn new(entry: &Rc<Entry<D>>, service: &str, is_caller_retry: bool) -> Self {
+        let handling = is_caller_retry.then_some(StallHandling::CallerRetried);
+        Self { entry: Rc::clone(entry), service: service.to_owned(), handling, is_served: false }
     }
 
     /// Records that the request is held until the service resumes.
     pub const fn on_held(&mut self) {
-        self.met = Some(StallHandling::Held);
+        self.handling = Some(StallHandling::Held);
     }
 
     /// Records that the request got a complete answer.
@@ -35,8 +35,8 @@
 
 impl<D: Dialect> Drop for StallOutcome<D> {
     fn drop(&mut self) {
-        let Some(met) = self.met else { return };
+        let Some(handling) = self.handling else { return };
         let now_ms = self.entry.clock.now_ms();
-        self.entry.state.borrow_mut().queue(&self.service).stall_outcomes.record(met, self.is_served, now_ms);
+        self.entry.state.borrow_mut().queue(&self.service).stall_outcomes.record(handling, self.is_served, now_ms);
     }
 }
