--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns what the configuration states about the engines of a service.
-    pub fn engine_figures(&self, service: &str) -> Option<EngineSpec> {
+    pub fn engine_spec(&self, service: &str) -> Option<EngineSpec> {
         self.state.borrow().table.as_ref()?.service(service)?.engine
     }
 
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -48,7 +48,7 @@
 
     /// Takes the map in use from what all ranks hold, if all told of the same map.
     pub(super) fn take_lists(&mut self, lists: &[Option<Lists>]) {
-        let Some(figures) = self.entry.engine_figures(&self.service) else { return };
+        let Some(figures) = self.entry.engine_spec(&self.service) else { return };
         let all: Option<Vec<&Lists>> = lists.iter().map(Option::as_ref).collect();
         let Some(all) = all else { return };
         let Some(first) = all.first() else { return };
@@ -86,7 +86,7 @@
 
     /// Requests that run, as a share of the places of all ranks.
     fn busy_share(&self) -> f64 {
-        let slots = self.entry.engine_figures(&self.service).map_or(1, |figures| figures.slots.max(1));
+        let slots = self.entry.engine_spec(&self.service).map_or(1, |figures| figures.slots.max(1));
         let running: u64 = self.last_round.views.iter().flatten().map(|view| view.running).sum();
         running as f64 / (slots * self.members.size.max(1) as u64) as f64
     }
@@ -122,7 +122,7 @@
     ///
     /// The search takes a thread of its own: callers are answered meanwhile.
     async fn plan(&self) -> Option<PlannedMap> {
-        let figures = self.entry.engine_figures(&self.service)?;
+        let figures = self.entry.engine_spec(&self.service)?;
         let (_, present) = self.controller.current_map()?;
         let demand = self.demand.as_ref().filter(|demand| is_known(demand, &figures))?;
         let arming_ms = self.arming_times.mean_ms();
