--- a/crates/ochreyard-direct/src/attempt.rs
+++ b/crates/ochreyard-direct/src/attempt.rs
@@ -30,7 +30,7 @@
     /// The endpoint was not reached, so it never received the request.
     NotSent,
     /// The request was withheld, since the endpoint paused, left or reached its limit after it was picked.
-    Unwanted,
+    Withheld,
     /// The endpoint reported that it did not run the request.
     NotRun {
         /// Status of the answer.
@@ -50,21 +50,22 @@
     },
 }
 
-/// Sends a request to one endpoint and waits for the head of its answer.
+/// Sends a request to one endpoint and waits for the head of its answer. `timeout_ms` is the time that the request has
+/// left.
 pub async fn send<D: Dialect>(
     entry: &Rc<Entry<D>>,
     request: &CallerRequest,
     pick: &Pick,
-    deadline_ms: u64,
+    timeout_ms: u64,
 ) -> Attempt<D> {
     let in_flight = InFlightAttempt::start(entry, pick);
-    let outgoing = request.to_endpoint(entry.dialect.headers(), &pick.id, deadline_ms);
+    let outgoing = request.to_endpoint(entry.dialect.headers(), &pick.id, timeout_ms);
     let kept = free_connection(entry, pick).await;
     match exchange(kept, pick.addr, CONNECT_TIMEOUT, || in_flight.try_send(), outgoing).await {
         Ok(exchanged) => classify(entry, request, pick, in_flight, exchanged),
         Err(ExchangeError::Lost(error)) => lost(&in_flight, &error),
         Err(ExchangeError::Unreachable(error)) => unreachable(&in_flight, pick, &error),
-        Err(ExchangeError::Unwanted) => unwanted(entry, pick),
+        Err(ExchangeError::Withheld) => withheld(entry, pick),
         Err(ExchangeError::ClosedBeforeSend) => not_sent(&in_flight),
     }
 }
@@ -85,12 +86,12 @@
     not_sent(in_flight)
 }
 
-fn unwanted<D: Dialect>(entry: &Entry<D>, pick: &Pick) -> Attempt<D> {
+fn withheld<D: Dialect>(entry: &Entry<D>, pick: &Pick) -> Attempt<D> {
     let is_limited = entry.state.borrow().pool.limit(pick).is_some_and(|limit| limit.rate().is_some());
     log::info!("event=request_withheld endpoint={} addr={} limited={is_limited}", pick.id, pick.addr);
     let service = entry.state.borrow().pool.record(&pick.id).map(|record| record.service.clone());
     meters::on_withheld(service.as_deref().unwrap_or("gone"), is_limited);
-    Attempt::Unwanted
+    Attempt::Withheld
 }
 
 fn not_sent<D: Dialect>(in_flight: &InFlightAttempt<D>) -> Attempt<D> {
@@ -115,7 +116,7 @@
     let names = entry.dialect.headers();
     let Exchanged { connection, response } = exchanged;
     let (head, body) = response.into_parts();
-    in_flight.on_heard();
+    in_flight.on_response_bytes();
     let is_own = head.headers.get(&names.attempt_id) == request.attempt_id.as_ref();
     let signals = signals::read(&entry.dialect, &head, is_own);
     signals::record(entry, pick, &signals, in_flight.sent_ms().unwrap_or(0));
--- a/crates/ochreyard-direct/src/buffered_bytes.rs
+++ b/crates/ochreyard-direct/src/buffered_bytes.rs
@@ -66,19 +66,19 @@
         B: Body<Data = Bytes> + Unpin,
         B::Error: std::fmt::Display,
     {
-        let mut taken = BytesMut::new();
+        let mut received = BytesMut::new();
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|error| BodyError::Interrupted(error.to_string()))?;
             let Ok(data) = frame.into_data() else { continue };
-            if taken.len() + data.len() > max_bytes {
+            if received.len() + data.len() > max_bytes {
                 return Err(BodyError::TooLong { max_bytes });
             }
             if !self.try_reserve(data.len()) {
                 return Err(BodyError::MemoryLimit);
             }
-            taken.extend_from_slice(&data);
+            received.extend_from_slice(&data);
         }
-        Ok(taken.freeze())
+        Ok(received.freeze())
     }
 }
 
--- a/crates/ochreyard-direct/src/call_error.rs
+++ b/crates/ochreyard-direct/src/call_error.rs
@@ -24,7 +24,7 @@
         match error {
             ExchangeError::Unreachable(error) => Self::Connect(error.to_string()),
             ExchangeError::Lost(error) => error.into(),
-            error @ (ExchangeError::Unwanted | ExchangeError::ClosedBeforeSend) => {
+            error @ (ExchangeError::Withheld | ExchangeError::ClosedBeforeSend) => {
                 Self::ConnectionLost(error.to_string())
             }
         }
--- a/crates/ochreyard-direct/src/caller_request.rs
+++ b/crates/ochreyard-direct/src/caller_request.rs
@@ -81,7 +81,7 @@
     }
 
     /// Builds the request to the endpoint `target`.
-    pub fn to_endpoint(&self, names: &HeaderNames, target: &str, deadline_ms: u64) -> Request<Full<Bytes>> {
+    pub fn to_endpoint(&self, names: &HeaderNames, target: &str, timeout_ms: u64) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.clone();
@@ -89,7 +89,7 @@
         if let Ok(target) = HeaderValue::from_str(target) {
             request.headers_mut().insert(names.target.clone(), target);
         }
-        request.headers_mut().insert(names.deadline_ms.clone(), HeaderValue::from(deadline_ms));
+        request.headers_mut().insert(names.deadline_ms.clone(), HeaderValue::from(timeout_ms));
         request
     }
 }
--- a/crates/ochreyard-direct/src/containment.rs
+++ b/crates/ochreyard-direct/src/containment.rs
@@ -30,7 +30,7 @@
 }
 
 impl<D: Dialect> Entry<D> {
-    /// Records that an endpoint crashed while it ran a request; its connection broke at `at_ms`.
+    /// Records that an endpoint crashed while it had a request; its connection broke at `at_ms`.
     pub fn on_crash(self: &Rc<Self>, pick: &Pick, service: &str, lost: LostRequest, at_ms: u64) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
@@ -69,8 +69,8 @@
         broadcast(self, &update);
     }
 
-    /// Records that a request ended without a crash. Other boxes learn of it when they poll.
-    pub fn on_clean_end(&self, fingerprint: Fingerprint) {
+    /// Records that a request succeeded. Other boxes learn of it when they poll.
+    pub fn on_request_success(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         if self.state.borrow_mut().quarantine.on_success(fingerprint, now_ms) {
             log::debug!("event=suspect_cleared fingerprint={fingerprint}");
--- a/crates/ochreyard-direct/src/evacuations.rs
+++ b/crates/ochreyard-direct/src/evacuations.rs
@@ -19,7 +19,7 @@
         let listed: BTreeSet<&str> = evacuated.collect();
         let mut state = self.state.borrow_mut();
         state.evacuations.retain_listed(&listed, page.next);
-        Self::update_evacuated_endpoints(&mut state, "listing");
+        Self::update_pool_evacuations(&mut state, "listing");
     }
 
     /// Applies records that operators wrote.
@@ -43,7 +43,7 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         if state.evacuations.apply(data_centre, position, is_in_force, now_ms) {
-            Self::update_evacuated_endpoints(&mut state, "log");
+            Self::update_pool_evacuations(&mut state, "log");
         }
     }
 
@@ -55,7 +55,7 @@
             .iter()
             .filter(|update| state.evacuations.apply(&update.data_centre, update.position, update.is_in_force, now_ms));
         if changed.count() > 0 {
-            Self::update_evacuated_endpoints(&mut state, "box");
+            Self::update_pool_evacuations(&mut state, "box");
         }
     }
 
@@ -65,11 +65,11 @@
         let now_ms = self.clock.now_ms();
         let mut state = self.state.borrow_mut();
         if state.evacuations.expire_missing(now_ms) {
-            Self::update_evacuated_endpoints(&mut state, "not_written_again");
+            Self::update_pool_evacuations(&mut state, "not_written_again");
         }
     }
 
-    fn update_evacuated_endpoints(state: &mut State, source: &str) {
+    fn update_pool_evacuations(state: &mut State, source: &str) {
         let State { evacuations, pool, .. } = state;
         if !pool.evacuated_data_centres().eq(evacuations.in_force()) {
             pool.set_evacuated_data_centres(evacuations.in_force());
--- a/crates/ochreyard-direct/src/exchange.rs
+++ b/crates/ochreyard-direct/src/exchange.rs
@@ -23,7 +23,7 @@
     ClosedBeforeSend,
     /// `may_send` refused the request, so the peer never received it.
     #[error("request withheld")]
-    Unwanted,
+    Withheld,
     /// The connection broke after the peer may have read the request.
     #[error("connection lost: {0}")]
     Lost(hyper::Error),
@@ -52,7 +52,7 @@
     mut request: Request<Full<Bytes>>,
 ) -> Result<Exchanged, ExchangeError> {
     if !may_send() {
-        return Err(ExchangeError::Unwanted);
+        return Err(ExchangeError::Withheld);
     }
     if let Some(mut connection) = kept {
         match connection.send(request).await {
@@ -63,7 +63,7 @@
     }
     let mut connection = Connection::open(addr, connect_timeout).await.map_err(ExchangeError::Unreachable)?;
     if !may_send() {
-        return Err(ExchangeError::Unwanted);
+        return Err(ExchangeError::Withheld);
     }
     match connection.send(request).await {
         Ok(response) => Ok(Exchanged { connection, response }),
--- a/crates/ochreyard-direct/src/in_flight.rs
+++ b/crates/ochreyard-direct/src/in_flight.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that the endpoint has sent something.
-    pub fn on_heard(&self) {
+    pub fn on_response_bytes(&self) {
         let now_ms = self.entry.clock.now_ms();
         self.entry.state.borrow_mut().pool.on_response_bytes(&self.pick.id, now_ms);
         self.record_answered();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Returns whether the endpoint has sent nothing to anybody here for `for_ms`.
+    /// Returns whether the endpoint has sent nothing on any request of this box for `for_ms`.
     pub fn is_silent(&self, for_ms: u64) -> bool {
         let now_ms = self.entry.clock.now_ms();
         self.entry.state.borrow().pool.is_silent(&self.pick.id, for_ms, now_ms)
--- a/crates/ochreyard-direct/src/job.rs
+++ b/crates/ochreyard-direct/src/job.rs
@@ -110,7 +110,7 @@
                     return Ok(*answer);
                 }
                 Some(Attempt::NotSent) => last = GiveUpReason::NoEndpoint,
-                Some(Attempt::Unwanted) => {}
+                Some(Attempt::Withheld) => {}
                 Some(Attempt::NotRun { status, backoff_ms }) => {
                     meters::on_refused_arrival(&self.service, backoff_ms.is_some());
                     let asked =
@@ -178,7 +178,7 @@
     /// Counts an attempt. An endpoint that was not reached never received the request. If the whole group is stalled,
     /// the rank is not at fault, and may be tried again once the group resumes.
     fn count_attempt(&mut self, pick: &Pick, attempt: Option<&Attempt<D>>) {
-        if matches!(attempt, Some(Attempt::Unwanted)) {
+        if matches!(attempt, Some(Attempt::Withheld)) {
             return;
         }
         let was_reached = !matches!(attempt, Some(Attempt::NotSent));
@@ -242,7 +242,7 @@
         let is_any_suspected = !state.quarantine.is_empty();
         drop(state);
         if is_any_suspected {
-            self.entry.on_clean_end(self.fingerprint());
+            self.entry.on_request_success(self.fingerprint());
         }
     }
 
--- a/crates/ochreyard-direct/src/relay.rs
+++ b/crates/ochreyard-direct/src/relay.rs
@@ -93,7 +93,7 @@
         let wait = Duration::from_millis(left_ms.min(silence_timeout_ms));
         match tokio::time::timeout(wait, answer.body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                answer.in_flight.on_heard();
+                answer.in_flight.on_response_bytes();
                 let data = frame.into_data().unwrap_or_default();
                 let complete = self.splitter.push(&data);
                 if self.splitter.partial_event_bytes() > MAX_EVENT_BYTES {
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -176,8 +176,8 @@
     }
 }
 
-/// Answers a readiness check. The box is ready when a configuration is known, the state of other boxes has been
-/// received, and no stop has begun.
+/// Answers a readiness check. The box is ready when a configuration is known, the initial sync with other boxes is
+/// over, and no stop has begun.
 fn readiness<D: Dialect>(entry: &Entry<D>) -> Response<AnswerBody> {
     let is_ready = entry.state.borrow().table.is_some() && entry.is_initialized() && !entry.is_stopping.get();
     empty_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
--- a/crates/ochreyard-direct/src/stall_outcome.rs
+++ b/crates/ochreyard-direct/src/stall_outcome.rs
@@ -16,7 +16,7 @@
 }
 
 impl<D: Dialect> StallOutcome<D> {
-    /// Starts a recorder. A returning caller was sent back before, since the service was stalled.
+    /// Starts a recorder. The request of a caller that retries was sent back before.
     pub fn new(entry: &Rc<Entry<D>>, service: &str, is_caller_retry: bool) -> Self {
         let handling = is_caller_retry.then_some(StallHandling::CallerRetried);
         Self { entry: Rc::clone(entry), service: service.to_owned(), handling, is_served: false }
