--- a/crates/ochreyard-lead/src/found_rank.rs
+++ b/crates/ochreyard-lead/src/found_rank.rs
@@ -7,7 +7,7 @@
 use futures::future::join_all;
 use ochreyard_core::group_map::{LeaderId, RankView};
 use ochreyard_direct::{Dialect, Entry, HttpClient};
-use ochreyard_rank::{Looked, RANK_PATH};
+use ochreyard_rank::{RANK_PATH, RankStatus};
 
 use crate::engine_at::EngineAt;
 
@@ -40,7 +40,7 @@
 }
 
 /// Asks one agent what it sees; `None` where no readable answer comes in time.
-pub async fn look(link: &HttpClient) -> Option<Looked> {
+pub async fn look(link: &HttpClient) -> Option<RankStatus> {
     match link.get(RANK_PATH, LOOK_TIMEOUT).await {
         Ok(response) => serde_json::from_slice(response.body()).ok(),
         Err(error) => {
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -18,7 +18,7 @@
     ShiftResponseTimes,
 };
 use ochreyard_direct::{Dialect, Entry};
-use ochreyard_rank::{Ask, Engines};
+use ochreyard_rank::{EngineFactory, LeaderRequest};
 
 use self::finding::Finding;
 use crate::members::Members;
@@ -66,7 +66,7 @@
     search_ms: u64,
 }
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// A leader that has asked nobody yet.
     pub fn new(entry: Rc<Entry<D>>, engines: S, service: &str, members: Members, settings: LeaderSettings) -> Self {
         let me = LeaderId { life: entry.next_random() };
@@ -187,7 +187,7 @@
     async fn stand_down(&mut self) {
         self.leadership.clear();
         self.pending.clear();
-        let ask = Ask { releases: true, ..self.plain_ask() };
+        let ask = LeaderRequest { releases_grant: true, ..self.plain_ask() };
         let told = self.members.iter().map(|(_, member)| ask_agent(Rc::clone(&member.link), ask.clone(), 1));
         join_all(told).await;
         self.tell(ReporterRole::StoodDown);
--- a/crates/ochreyard-lead/src/leader/decision.rs
+++ b/crates/ochreyard-lead/src/leader/decision.rs
@@ -4,7 +4,7 @@
 
 use ochreyard_core::group_map::{ChangePhase, Round};
 use ochreyard_direct::Dialect;
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 use super::Leader;
 use crate::questions::brief;
@@ -23,7 +23,7 @@
 /// than the longest waits of the controller's settings for a hold and for arms together.
 const STUCK_NOTE_MS: u64 = 1_000;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Lets the controller take the round, and proposes a map where one is worth it.
     pub(super) async fn decide(&mut self) {
         let now_ms = self.now_ms();
--- a/crates/ochreyard-lead/src/leader/entry_news.rs
+++ b/crates/ochreyard-lead/src/leader/entry_news.rs
@@ -6,11 +6,11 @@
 use ochreyard_core::direct::{GroupUpdate, RankUpdate, ReporterRole};
 use ochreyard_core::group_map::RankView;
 use ochreyard_direct::Dialect;
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 use super::Leader;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Tells entries of the group: at once when it stops or goes on, else now and then.
     pub(super) fn tell_entries(&mut self, role: ReporterRole) {
         let now_ms = self.now_ms();
--- a/crates/ochreyard-lead/src/leader/finding.rs
+++ b/crates/ochreyard-lead/src/leader/finding.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use ochreyard_direct::Dialect;
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 use super::Leader;
 use crate::engine_at::EngineAt;
@@ -22,7 +22,7 @@
     begun_ms: u64,
 }
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Takes ranks that were found, and begins a search where one is missing.
     pub(super) fn find_missing(&mut self) {
         let found = std::mem::take(&mut *self.finding.found.borrow_mut());
--- a/crates/ochreyard-lead/src/leader/hold_rank.rs
+++ b/crates/ochreyard-lead/src/leader/hold_rank.rs
@@ -9,7 +9,7 @@
 
 use ochreyard_core::group_map::{Order, OrderOutcome, SentOrder};
 use ochreyard_direct::Dialect;
-use ochreyard_rank::{Engines, RankEngine};
+use ochreyard_rank::{EngineFactory, RankEngine};
 
 use super::Leader;
 use crate::questions::ask_agent;
@@ -17,7 +17,7 @@
 /// Orders by the rank that they are for.
 type RankOrders = Vec<(usize, SentOrder)>;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Reads that rank once more: a hold is placed a few steps ahead of the newest one
     /// known, and the answers of a large group take about as long as a step.
     pub(super) async fn look_at_hold_rank(&mut self) {
@@ -44,7 +44,7 @@
         let mut outcomes = Vec::with_capacity(orders.len());
         for (rank, order) in orders {
             let Some(member) = self.members.get(rank) else { continue };
-            let outcome = self.engines.at(member.engine.addr).order(&order).await;
+            let outcome = self.engines.client_at(member.engine.addr).order(&order).await;
             outcomes.push((rank, order, outcome));
         }
         outcomes
--- a/crates/ochreyard-lead/src/leader/observation.rs
+++ b/crates/ochreyard-lead/src/leader/observation.rs
@@ -4,12 +4,12 @@
 use ochreyard_core::direct::ReporterRole;
 use ochreyard_core::group_map::Round;
 use ochreyard_direct::Dialect;
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 use super::Leader;
 use crate::found_rank::look;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Looks at all known ranks once, and tells entries what they show. Gives how many were
     /// reached; `None` where somebody leads the group, or nobody was reached.
     pub(super) async fn observe(&mut self) -> Option<usize> {
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -3,7 +3,7 @@
 use ochreyard_core::direct::EngineSpec;
 use ochreyard_core::group_map::{Demand, GroupPlacement, PlanSettings, PlannedMap, Planner, RankView, StepTimes};
 use ochreyard_direct::Dialect;
-use ochreyard_rank::{Engines, Lists};
+use ochreyard_rank::{EngineFactory, HeldExperts};
 
 use super::{Leader, LeaderSettings};
 
@@ -30,7 +30,7 @@
 /// The pace that ranks state when they are as fast as usual, in thousandths.
 const USUAL_PACE_PERMILLE: f64 = 1000.0;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Adds the choices of one round, summed over the ranks, to the demand.
     pub(super) fn add_demand(&mut self, chosen: &[f64]) {
         if chosen.is_empty() {
@@ -47,9 +47,9 @@
     }
 
     /// Takes the map in use from what all ranks hold, if all told of the same map.
-    pub(super) fn take_lists(&mut self, lists: &[Option<Lists>]) {
+    pub(super) fn take_lists(&mut self, lists: &[Option<HeldExperts>]) {
         let Some(figures) = self.entry.engine_figures(&self.service) else { return };
-        let all: Option<Vec<&Lists>> = lists.iter().map(Option::as_ref).collect();
+        let all: Option<Vec<&HeldExperts>> = lists.iter().map(Option::as_ref).collect();
         let Some(all) = all else { return };
         let Some(first) = all.first() else { return };
         if all.iter().all(|list| list.version == first.version && list.epoch == first.epoch) {
--- a/crates/ochreyard-lead/src/leader/round.rs
+++ b/crates/ochreyard-lead/src/leader/round.rs
@@ -6,7 +6,7 @@
 use futures::future::join_all;
 use ochreyard_core::group_map::{LeaderId, Round, SentOrder};
 use ochreyard_direct::Dialect;
-use ochreyard_rank::{Ask, Engines, Lists, Told};
+use ochreyard_rank::{AgentResponse, EngineFactory, HeldExperts, LeaderRequest};
 
 use super::Leader;
 use super::hold_rank::split_direct;
@@ -16,7 +16,7 @@
 /// some ranks tell the demand on all, and each set of counts takes kilobytes and time.
 const COUNTED_RANKS: usize = 12;
 
-impl<D: Dialect, S: Engines> Leader<D, S> {
+impl<D: Dialect, S: EngineFactory> Leader<D, S> {
     /// Asks all ranks at once, with the orders that are due. Says who else is granted, if somebody is.
     pub(super) async fn round(&mut self) -> Option<LeaderId> {
         let asked_ms = self.now_ms();
@@ -41,17 +41,17 @@
     }
 
     /// The answers by rank, where they came.
-    async fn ask_all(&self, orders: &[(usize, SentOrder)]) -> Vec<Option<Told>> {
+    async fn ask_all(&self, orders: &[(usize, SentOrder)]) -> Vec<Option<AgentResponse>> {
         let reaches_engines = self.reaches_engines();
         let counted = if self.asks_counts() { self.members.counted(COUNTED_RANKS) } else { BTreeSet::new() };
         let asked = self.members.iter().map(|(rank, member)| {
-            let ask = Ask { wants_counts: counted.contains(&rank), ..self.ask_for(rank, orders) };
-            let short = self.sent_maps.shortened(&ask, member.knows_map);
+            let ask = LeaderRequest { wants_counts: counted.contains(&rank), ..self.ask_for(rank, orders) };
+            let short = self.sent_maps.shortened(&ask, member.known_map_version);
             let question = Question { ask: short, orders: ask.orders, asked_at_once: self.members.size };
-            let engine = reaches_engines.then(|| self.engines.at(member.engine.addr));
+            let engine = reaches_engines.then(|| self.engines.client_at(member.engine.addr));
             async move { (rank, ask_member(Rc::clone(&member.link), question, engine).await) }
         });
-        let mut told: Vec<Option<Told>> = (0..self.members.size).map(|_| None).collect();
+        let mut told: Vec<Option<AgentResponse>> = (0..self.members.size).map(|_| None).collect();
         for (rank, answer) in join_all(asked).await {
             if let Some(place) = told.get_mut(rank) {
                 *place = answer;
@@ -61,22 +61,22 @@
     }
 
     /// A question that only renews the grant.
-    pub(super) const fn plain_ask(&self) -> Ask {
-        Ask {
+    pub(super) const fn plain_ask(&self) -> LeaderRequest {
+        LeaderRequest {
             leader: self.me,
             lease_ms: self.settings.lease_ms,
             orders: Vec::new(),
-            map_change: None,
+            map_delta: None,
             wants_counts: false,
-            wants_lists: false,
-            releases: false,
+            wants_held_experts: false,
+            releases_grant: false,
         }
     }
 
-    pub(super) fn ask_for(&self, rank: usize, orders: &[(usize, SentOrder)]) -> Ask {
-        Ask {
+    pub(super) fn ask_for(&self, rank: usize, orders: &[(usize, SentOrder)]) -> LeaderRequest {
+        LeaderRequest {
             orders: orders.iter().filter(|(to, _)| *to == rank).map(|(_, order)| order.clone()).collect(),
-            wants_lists: !self.knows_present(),
+            wants_held_experts: !self.knows_present(),
             ..self.plain_ask()
         }
     }
@@ -94,21 +94,26 @@
     }
 
     /// Takes the answers. Says who else is granted, if an answer names somebody.
-    fn take(&mut self, told: Vec<Option<Told>>, orders: &[(usize, SentOrder)], asked_ms: u64) -> Option<LeaderId> {
+    fn take(
+        &mut self,
+        told: Vec<Option<AgentResponse>>,
+        orders: &[(usize, SentOrder)],
+        asked_ms: u64,
+    ) -> Option<LeaderId> {
         let mut holder = None;
         let mut round = Round { views: vec![None; told.len()], outcomes: Vec::new() };
         let mut chosen: Vec<f64> = Vec::new();
-        let mut lists: Vec<Option<Lists>> = vec![None; told.len()];
+        let mut lists: Vec<Option<HeldExperts>> = vec![None; told.len()];
         for (rank, told) in told.into_iter().enumerate() {
             let Some(told) = told else { continue };
             self.leadership.on_answer(rank, told.granted, asked_ms);
             holder = holder.or(told.holder);
-            self.members.note_map(rank, told.knows_map);
+            self.members.note_map(rank, told.known_map_version);
             round.views[rank] = told.view.filter(|view| self.members.fits(rank, view));
             let sent = orders.iter().filter(|(to, _)| *to == rank);
             round.outcomes.extend(sent.zip(told.outcomes).map(|((to, order), outcome)| (*to, order.clone(), outcome)));
-            lists[rank] = told.lists;
-            if told.chosen.is_some_and(|counts| !counts.add_to(&mut chosen)) {
+            lists[rank] = told.held_experts;
+            if told.selection_counts.is_some_and(|counts| !counts.add_to(&mut chosen)) {
                 log::warn!("event=counts_unreadable group={} rank={rank}", self.members.group);
             }
         }
--- a/crates/ochreyard-lead/src/lib.rs
+++ b/crates/ochreyard-lead/src/lib.rs
@@ -22,13 +22,13 @@
 
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_process::Settings;
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 pub use self::fields::FIELDS;
 use self::settings::LeaderSettings;
 
 /// Starts what makes an entry lead groups, on the present thread.
-pub fn start<D: Dialect, S: Engines>(entry: &Rc<Entry<D>>, engines: S, settings: &Settings) {
+pub fn start<D: Dialect, S: EngineFactory>(entry: &Rc<Entry<D>>, engines: S, settings: &Settings) {
     let settings = LeaderSettings::read(settings);
     tokio::task::spawn_local(service_watch::watch_services(Rc::clone(entry), engines, settings));
 }
--- a/crates/ochreyard-lead/src/members.rs
+++ b/crates/ochreyard-lead/src/members.rs
@@ -17,7 +17,7 @@
     /// The connection to its agent.
     pub link: Rc<HttpClient>,
     /// Number of the map that its agent knows.
-    pub knows_map: Option<u64>,
+    pub known_map_version: Option<u64>,
 }
 
 /// The ranks of a group, as far as they are known.
@@ -70,7 +70,7 @@
     /// Notes which map the agent of a rank knows.
     pub fn note_map(&mut self, rank: usize, version: Option<u64>) {
         if let Some(member) = self.by_rank.get_mut(&rank) {
-            member.knows_map = version;
+            member.known_map_version = version;
         }
     }
 
@@ -81,6 +81,6 @@
         if is_known || !self.fits(rank, &found.view) {
             return;
         }
-        self.by_rank.insert(rank, Member { engine: found.engine, link: found.link, knows_map: None });
+        self.by_rank.insert(rank, Member { engine: found.engine, link: found.link, known_map_version: None });
     }
 }
--- a/crates/ochreyard-lead/src/questions.rs
+++ b/crates/ochreyard-lead/src/questions.rs
@@ -5,7 +5,7 @@
 
 use ochreyard_core::group_map::{RankView, SentOrder};
 use ochreyard_direct::HttpClient;
-use ochreyard_rank::{Ask, RANK_PATH, RankEngine, Told};
+use ochreyard_rank::{AgentResponse, LeaderRequest, RANK_PATH, RankEngine};
 
 /// Longest wait for an agent's answer: its engine's answers and a few round trips.
 const ASK_TIMEOUT: Duration = Duration::from_millis(250);
@@ -16,7 +16,7 @@
 /// What is asked of one rank.
 pub struct Question {
     /// The question as it is sent.
-    pub ask: Ask,
+    pub ask: LeaderRequest,
     /// Its orders with their whole maps.
     pub orders: Vec<SentOrder>,
     /// How many ranks are asked at the same time.
@@ -24,7 +24,11 @@
 }
 
 /// Asks a rank's agent; where it does not answer, its engine, if one is given.
-pub async fn ask_member<E: RankEngine>(link: Rc<HttpClient>, question: Question, engine: Option<E>) -> Option<Told> {
+pub async fn ask_member<E: RankEngine>(
+    link: Rc<HttpClient>,
+    question: Question,
+    engine: Option<E>,
+) -> Option<AgentResponse> {
     let agent_addr = link.addr();
     let told = ask_agent(link, question.ask, question.asked_at_once).await;
     let Some(engine) = engine.filter(|_| told.is_none()) else { return told };
@@ -37,12 +41,12 @@
         Ok(view) => log::info!("event=rank_reached_directly rank={} view={}", view.rank, brief(view)),
         Err(error) => log::info!("event=rank_unreachable agent={agent_addr} error=\"{error}\""),
     }
-    Some(Told { view: Some(view.ok()?), outcomes, ..Told::default() })
+    Some(AgentResponse { view: Some(view.ok()?), outcomes, ..AgentResponse::default() })
 }
 
 /// Asks an agent, one of several that are asked at once; `None` where no readable
 /// answer comes in time.
-pub async fn ask_agent(link: Rc<HttpClient>, ask: Ask, asked_at_once: usize) -> Option<Told> {
+pub async fn ask_agent(link: Rc<HttpClient>, ask: LeaderRequest, asked_at_once: usize) -> Option<AgentResponse> {
     let bytes: usize = ask.orders.iter().map(|sent| sent.order.estimated_bytes()).sum();
     let on_link = Duration::from_millis((bytes * asked_at_once / LINK_BYTES_PER_MS) as u64);
     match link.post(RANK_PATH, &ask, ASK_TIMEOUT + on_link).await {
--- a/crates/ochreyard-lead/src/sent_maps.rs
+++ b/crates/ochreyard-lead/src/sent_maps.rs
@@ -2,12 +2,12 @@
 
 use ochreyard_core::group_map::{MapDelta, Order, SentOrder};
 
-use ochreyard_rank::{Ask, NumberedMap};
+use ochreyard_rank::{LeaderRequest, VersionedMap};
 
 /// The newest map that was sent, and how it differs from the one before.
 #[derive(Debug, Clone, Default)]
 pub struct SentMaps {
-    newest: Option<NumberedMap>,
+    newest: Option<VersionedMap>,
     change: Option<MapDelta>,
 }
 
@@ -22,14 +22,14 @@
             if self.newest.as_ref().is_some_and(|newest| newest.version == version) {
                 continue;
             }
-            let before = self.newest.replace(NumberedMap { version, experts: map.clone() });
+            let before = self.newest.replace(VersionedMap { version, experts: map.clone() });
             self.change = before.and_then(|before| MapDelta::between(before.version, &before.experts, map));
         }
     }
 
     /// The same question with the change in place of the whole map, for an agent that
     /// knows map `known`.
-    pub fn shortened(&self, ask: &Ask, known: Option<u64>) -> Ask {
+    pub fn shortened(&self, ask: &LeaderRequest, known: Option<u64>) -> LeaderRequest {
         let mut ask = ask.clone();
         let Some(change) = self.change.as_ref().filter(|change| Some(change.base) == known) else { return ask };
         for sent in &mut ask.orders {
@@ -37,7 +37,7 @@
                 && self.newest.as_ref().is_some_and(|newest| newest.version == *version)
             {
                 map.clear();
-                ask.map_change = Some(change.clone());
+                ask.map_delta = Some(change.clone());
             }
         }
         ask
--- a/crates/ochreyard-lead/src/service_watch.rs
+++ b/crates/ochreyard-lead/src/service_watch.rs
@@ -7,7 +7,7 @@
 
 use ochreyard_core::group_map::{Candidacy, candidate_position};
 use ochreyard_direct::{Dialect, Entry};
-use ochreyard_rank::Engines;
+use ochreyard_rank::EngineFactory;
 
 use crate::engine_at::EngineAt;
 use crate::found_rank::{FoundRank, look_at};
@@ -24,7 +24,7 @@
 type LedGroups = Rc<RefCell<BTreeSet<String>>>;
 
 /// Watches every service whose engines form groups.
-pub async fn watch_services<D: Dialect, S: Engines>(entry: Rc<Entry<D>>, engines: S, settings: LeaderSettings) {
+pub async fn watch_services<D: Dialect, S: EngineFactory>(entry: Rc<Entry<D>>, engines: S, settings: LeaderSettings) {
     let mut watches: BTreeMap<String, ServiceWatch<D, S>> = BTreeMap::new();
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
@@ -49,7 +49,7 @@
     slow_until_ms: Rc<Cell<u64>>,
 }
 
-impl<D: Dialect, S: Engines> ServiceWatch<D, S> {
+impl<D: Dialect, S: EngineFactory> ServiceWatch<D, S> {
     fn new(entry: Rc<Entry<D>>, engines: S, service: String, settings: LeaderSettings) -> Self {
         let (candidacy, led) = (Candidacy::default(), LedGroups::default());
         Self { entry, engines, service, settings, candidacy, led, slow_until_ms: Rc::default() }
--- a/crates/ochreyard-rank/src/agent.rs
+++ b/crates/ochreyard-rank/src/agent.rs
@@ -8,15 +8,15 @@
 use ochreyard_core::group_map::{LeaderGrant, LeaderId, Order, OrderOutcome, RankView, SelectionCounts, SentOrder};
 use ochreyard_process::Clock;
 
-use crate::engine::{Counts, EngineError, RankEngine};
-use crate::message::{Ask, Looked, Told};
-use crate::numbered_map::NumberedMap;
+use crate::engine::{EngineError, RankEngine, SelectionTotals};
+use crate::message::{AgentResponse, LeaderRequest, RankStatus};
+use crate::versioned_map::VersionedMap;
 
 /// The running counts as they stood when a leader was last told.
 #[derive(Debug, Clone)]
 struct ToldCounts {
     leader: LeaderId,
-    counts: Counts,
+    counts: SelectionTotals,
 }
 
 /// The agent of one rank.
@@ -26,7 +26,7 @@
     clock: Clock,
     grant: RefCell<LeaderGrant>,
     told_counts: RefCell<Option<ToldCounts>>,
-    known_map: RefCell<Option<NumberedMap>>,
+    known_map: RefCell<Option<VersionedMap>>,
     is_reachable: Cell<bool>,
 }
 
@@ -46,10 +46,10 @@
     }
 
     /// What it sees, for anybody who asks.
-    pub async fn looked(&self) -> Looked {
+    pub async fn looked(&self) -> RankStatus {
         let view = self.look().await;
         let holder = self.grant.borrow().holder(self.clock.now_ms()).copied();
-        Looked { view, holder }
+        RankStatus { view, holder }
     }
 
     async fn look(&self) -> Option<RankView> {
@@ -57,31 +57,31 @@
     }
 
     /// Answers a leader: grants or refuses, carries out its orders, and tells of the rank.
-    pub async fn answer(&self, ask: &Ask) -> Told {
-        if ask.releases {
+    pub async fn answer(&self, ask: &LeaderRequest) -> AgentResponse {
+        if ask.releases_grant {
             self.grant.borrow_mut().release(&ask.leader);
-            return Told::default();
+            return AgentResponse::default();
         }
         let now_ms = self.clock.now_ms();
         let granted = self.grant.borrow_mut().try_grant(&ask.leader, ask.lease_ms, now_ms);
         let holder = self.grant.borrow().holder(now_ms).filter(|_| !granted).copied();
         let outcomes = if granted { self.carry_out(ask).await } else { Vec::new() };
         let view = self.look().await;
-        let chosen = if ask.wants_counts { self.chosen_for(&ask.leader).await } else { None };
-        let lists = if ask.wants_lists { self.noted(self.engine.lists().await) } else { None };
-        let knows_map = self.known_map.borrow().as_ref().map(|known| known.version);
-        Told { granted, holder, view, knows_map, outcomes, chosen, lists }
+        let selection_counts = if ask.wants_counts { self.chosen_for(&ask.leader).await } else { None };
+        let held_experts = if ask.wants_held_experts { self.noted(self.engine.held_experts().await) } else { None };
+        let known_map_version = self.known_map.borrow().as_ref().map(|known| known.version);
+        AgentResponse { granted, holder, view, known_map_version, outcomes, selection_counts, held_experts }
     }
 
     /// What the rank has chosen since `leader` was last told.
     async fn chosen_for(&self, leader: &LeaderId) -> Option<SelectionCounts> {
-        let counts = self.noted(self.engine.counts().await)?;
+        let counts = self.noted(self.engine.selection_totals().await)?;
         let told = ToldCounts { leader: *leader, counts };
         let before = self.told_counts.replace(Some(told.clone())).filter(|before| before.leader == *leader)?;
         Some(SelectionCounts::new(&told.counts.since(&before.counts)))
     }
 
-    async fn carry_out(&self, ask: &Ask) -> Vec<OrderOutcome> {
+    async fn carry_out(&self, ask: &LeaderRequest) -> Vec<OrderOutcome> {
         let mut outcomes = Vec::with_capacity(ask.orders.len());
         for order in &ask.orders {
             // A process may have stood still since the grant was looked at.
@@ -97,16 +97,16 @@
 
     /// An order with its whole map, which it may only hold as a change of one that is
     /// known here; `None` where it is not.
-    fn with_map<'a>(&self, sent: &'a SentOrder, ask: &Ask) -> Option<Cow<'a, SentOrder>> {
+    fn with_map<'a>(&self, sent: &'a SentOrder, ask: &LeaderRequest) -> Option<Cow<'a, SentOrder>> {
         let Order::Prepare { version, map } = &sent.order else { return Some(Cow::Borrowed(sent)) };
         let mut known = self.known_map.borrow_mut();
-        let Some(change) = &ask.map_change else {
-            known.replace(NumberedMap { version: *version, experts: map.clone() });
+        let Some(change) = &ask.map_delta else {
+            known.replace(VersionedMap { version: *version, experts: map.clone() });
             return Some(Cow::Borrowed(sent));
         };
         let base = known.as_ref().filter(|known| known.version == change.base)?;
         let experts = change.apply(&base.experts)?;
-        known.replace(NumberedMap { version: *version, experts: experts.clone() });
+        known.replace(VersionedMap { version: *version, experts: experts.clone() });
         let order = Order::Prepare { version: *version, map: experts };
         Some(Cow::Owned(SentOrder { order, ..sent.clone() }))
     }
--- a/crates/ochreyard-rank/src/engine.rs
+++ b/crates/ochreyard-rank/src/engine.rs
@@ -22,28 +22,28 @@
 
 /// How often a rank's requests have chosen each expert since its start, set by set.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Counts {
+pub struct SelectionTotals {
     /// The epoch of the group.
     pub epoch: u64,
     /// When this life of the engine started; 0 where it does not tell.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// The counts.
     pub counts: Vec<u64>,
 }
 
-impl Counts {
+impl SelectionTotals {
     /// What was chosen since `before`. An engine that started again counts from zero, even where it
     /// has passed the former counts by now.
     #[must_use]
     pub fn since(&self, before: &Self) -> Vec<u64> {
-        let is_same_life = self.born_ms == before.born_ms;
+        let is_same_life = self.started_ms == before.started_ms;
         selections_between(if is_same_life { &before.counts } else { &[] }, &self.counts)
     }
 }
 
 /// The experts that a rank holds, by set, under the map in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub struct Lists {
+pub struct HeldExperts {
     /// The epoch of the group.
     pub epoch: u64,
     /// The number of the map.
@@ -58,20 +58,20 @@
     fn view(&self) -> impl Future<Output = Result<RankView, EngineError>>;
 
     /// Its running counts.
-    fn counts(&self) -> impl Future<Output = Result<Counts, EngineError>>;
+    fn selection_totals(&self) -> impl Future<Output = Result<SelectionTotals, EngineError>>;
 
     /// What it holds.
-    fn lists(&self) -> impl Future<Output = Result<Lists, EngineError>>;
+    fn held_experts(&self) -> impl Future<Output = Result<HeldExperts, EngineError>>;
 
     /// Gives it an order.
     fn order(&self, order: &SentOrder) -> impl Future<Output = OrderOutcome>;
 }
 
 /// Makes clients for engines.
-pub trait Engines: Clone + 'static {
+pub trait EngineFactory: Clone + 'static {
     /// The client.
     type Engine: RankEngine;
 
     /// A client for the engine at `addr`.
-    fn at(&self, addr: SocketAddr) -> Self::Engine;
+    fn client_at(&self, addr: SocketAddr) -> Self::Engine;
 }
--- a/crates/ochreyard-rank/src/lib.rs
+++ b/crates/ochreyard-rank/src/lib.rs
@@ -9,11 +9,11 @@
 mod engine;
 mod fields;
 mod message;
-mod numbered_map;
 pub mod serve;
 mod server;
+mod versioned_map;
 
-pub use engine::{Counts, EngineError, Engines, Lists, RankEngine};
+pub use engine::{EngineError, EngineFactory, HeldExperts, RankEngine, SelectionTotals};
 pub use fields::FIELDS;
-pub use message::{Ask, Looked, RANK_PATH, Told};
-pub use numbered_map::NumberedMap;
+pub use message::{AgentResponse, LeaderRequest, RANK_PATH, RankStatus};
+pub use versioned_map::VersionedMap;
--- a/crates/ochreyard-rank/src/message.rs
+++ b/crates/ochreyard-rank/src/message.rs
@@ -3,14 +3,14 @@
 use ochreyard_core::group_map::{LeaderId, MapDelta, OrderOutcome, RankView, SelectionCounts, SentOrder};
 use serde::{Deserialize, Serialize};
 
-use crate::engine::Lists;
+use crate::engine::HeldExperts;
 
 /// Where an agent is asked: GET for what it sees, POST for a leader's question.
 pub const RANK_PATH: &str = "/rank";
 
 /// What an agent tells anybody who asks.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
-pub struct Looked {
+pub struct RankStatus {
     /// The rank's view.
     pub view: Option<RankView>,
     /// Who leads, as far as this agent knows.
@@ -19,7 +19,7 @@
 
 /// A leader's question to one agent. It renews the leader's grant.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Ask {
+pub struct LeaderRequest {
     /// Who asks.
     pub leader: LeaderId,
     /// For how long the leader takes itself to be granted, in milliseconds.
@@ -28,22 +28,22 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub orders: Vec<SentOrder>,
     /// The map of an order to prepare that holds none, as a change of one that the agent knows.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub map_change: Option<MapDelta>,
+    #[serde(rename = "map_change", default, skip_serializing_if = "Option::is_none")]
+    pub map_delta: Option<MapDelta>,
     /// Whether it is wanted what the rank has chosen since it last told this leader.
     #[serde(default, skip_serializing_if = "is_false")]
     pub wants_counts: bool,
     /// Whether the held experts are wanted.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub wants_lists: bool,
+    #[serde(rename = "wants_lists", default, skip_serializing_if = "is_false")]
+    pub wants_held_experts: bool,
     /// Whether the leader gives its grant back.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub releases: bool,
+    #[serde(rename = "releases", default, skip_serializing_if = "is_false")]
+    pub releases_grant: bool,
 }
 
 /// An agent's answer.
 #[derive(Debug, Clone, Serialize, Deserialize, Default)]
-pub struct Told {
+pub struct AgentResponse {
     /// Whether the leader is granted.
     pub granted: bool,
     /// Who is granted, if not the leader.
@@ -52,17 +52,17 @@
     /// The rank's view, after the orders.
     pub view: Option<RankView>,
     /// Number of the map that the agent was last sent whole, or as a change that it could apply.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub knows_map: Option<u64>,
+    #[serde(rename = "knows_map", default, skip_serializing_if = "Option::is_none")]
+    pub known_map_version: Option<u64>,
     /// What became of the orders, in their order.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub outcomes: Vec<OrderOutcome>,
     /// What the rank has chosen since it last told this leader; nothing the first time.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub chosen: Option<SelectionCounts>,
+    #[serde(rename = "chosen", default, skip_serializing_if = "Option::is_none")]
+    pub selection_counts: Option<SelectionCounts>,
     /// The held experts.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub lists: Option<Lists>,
+    #[serde(rename = "lists", default, skip_serializing_if = "Option::is_none")]
+    pub held_experts: Option<HeldExperts>,
 }
 
 #[allow(clippy::trivially_copy_pass_by_ref)] // The library that writes messages asks for a reference.
--- a/crates/ochreyard-rank/src/serve.rs
+++ b/crates/ochreyard-rank/src/serve.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::agent::Agent;
-use crate::engine::Engines;
+use crate::engine::EngineFactory;
 use crate::server;
 
 /// Runs the agent on one thread.
@@ -16,17 +16,17 @@
 /// # Errors
 ///
 /// When the address cannot be bound.
-pub fn run<S: Engines>(settings: &Settings, engines: &S) -> Result<()> {
+pub fn run<S: EngineFactory>(settings: &Settings, engines: &S) -> Result<()> {
     start_logging(settings).into_diagnostic()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
     tokio::task::LocalSet::new().block_on(&runtime, serve(settings, engines))
 }
 
-async fn serve<S: Engines>(settings: &Settings, engines: &S) -> Result<()> {
+async fn serve<S: EngineFactory>(settings: &Settings, engines: &S) -> Result<()> {
     let (engine_addr, peer_addr) = (settings.addr("engine_addr"), settings.addr("peer_addr"));
     let life = new_life(settings.text("agent"));
     log::info!("event=agent_started agent={} life={life} engine={engine_addr}", settings.text("agent"));
-    let agent = Agent::new(engines.at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
+    let agent = Agent::new(engines.client_at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
     let problem = || format!("field `peer_addr`: {peer_addr} cannot be bound; choose a free address");
     let listener = TcpListener::bind(peer_addr).await.into_diagnostic().wrap_err_with(problem)?;
     tokio::task::spawn_local(server::serve(Rc::clone(&agent), listener));
--- a/crates/ochreyard-rank/src/server.rs
+++ b/crates/ochreyard-rank/src/server.rs
@@ -17,7 +17,7 @@
 
 use crate::agent::Agent;
 use crate::engine::RankEngine;
-use crate::message::{Ask, RANK_PATH};
+use crate::message::{LeaderRequest, RANK_PATH};
 
 /// Largest question: a map of a large group, in JSON.
 const MAX_ASK_BYTES: usize = 1 << 20;
@@ -62,7 +62,7 @@
     let Ok(body) = Limited::new(request.into_body(), MAX_ASK_BYTES).collect().await else {
         return status_only(StatusCode::BAD_REQUEST);
     };
-    let ask: Ask = match serde_json::from_slice(&body.to_bytes()) {
+    let ask: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
         Ok(ask) => ask,
         Err(error) => {
             log::warn!("event=ask_unreadable error=\"{error}\"");
--- a/crates/ochreyard-rank/src/numbered_map.rs
+++ b/crates/ochreyard-rank/src/versioned_map.rs
@@ -4,7 +4,7 @@
 
 /// A map and its number.
 #[derive(Debug, Clone)]
-pub struct NumberedMap {
+pub struct VersionedMap {
     /// Its number.
     pub version: u64,
     /// Its experts by set and rank.
--- a/crates/ochreyard-rank/tests/counts.rs
+++ b/crates/ochreyard-rank/tests/counts.rs
@@ -1,6 +1,6 @@
 //! What a rank has chosen between two readings of its counts.
 
-use ochreyard_rank::Counts;
+use ochreyard_rank::SelectionTotals;
 use rstest::rstest;
 
 #[rstest]
@@ -8,11 +8,11 @@
 #[case::started_again_and_fewer_by_now(6, &[10, 4], &[3, 1], &[3, 1])]
 #[case::started_again_and_more_by_now(6, &[10, 4], &[12, 9], &[12, 9])]
 fn counts_of_a_life_before_are_not_taken_off(
-    #[case] born_ms: u64,
+    #[case] started_ms: u64,
     #[case] before: &[u64],
     #[case] now: &[u64],
     #[case] since: &[u64],
 ) {
-    let counts = |born_ms, counts: &[u64]| Counts { epoch: 1, born_ms, counts: counts.to_vec() };
-    assert_eq!(counts(born_ms, now).since(&counts(5, before)), since);
+    let counts = |started_ms, counts: &[u64]| SelectionTotals { epoch: 1, started_ms, counts: counts.to_vec() };
+    assert_eq!(counts(started_ms, now).since(&counts(5, before)), since);
 }
--- a/crates/ochreyard-rank/tests/message_size.rs
+++ b/crates/ochreyard-rank/tests/message_size.rs
@@ -1,7 +1,7 @@
 //! What a round of a leader carries: links of a few megabits a second bind first.
 
 use ochreyard_core::group_map::{LeaderId, RankView, SelectionCounts};
-use ochreyard_rank::{Ask, Told};
+use ochreyard_rank::{AgentResponse, LeaderRequest};
 use rstest::rstest;
 
 /// Most ranks whose counts are asked for.
@@ -13,19 +13,19 @@
 /// What a link of 40 megabits carries in a second.
 const LINK_BYTES_PER_S: usize = 5_000_000;
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> LeaderRequest {
+    LeaderRequest {
         leader: LeaderId { life: u64::MAX },
         lease_ms: 800,
         orders: Vec::new(),
-        map_change: None,
+        map_delta: None,
         wants_counts: true,
-        wants_lists: false,
-        releases: false,
+        wants_held_experts: false,
+        releases_grant: false,
     }
 }
 
-fn told(chosen: Option<SelectionCounts>) -> Told {
+fn told(chosen: Option<SelectionCounts>) -> AgentResponse {
     let view = RankView {
         group: "g0-0".into(),
         rank: 95,
@@ -39,7 +39,13 @@
         running: 6,
         ..RankView::default()
     };
-    Told { granted: true, view: Some(view), knows_map: Some(1 << 40), chosen, ..Told::default() }
+    AgentResponse {
+        granted: true,
+        view: Some(view),
+        known_map_version: Some(1 << 40),
+        selection_counts: chosen,
+        ..AgentResponse::default()
+    }
 }
 
 fn bytes<T: serde::Serialize>(message: &T) -> usize {
@@ -81,8 +87,8 @@
 #[test]
 fn fields_that_are_left_out_are_read_as_nothing() {
     let told = told(None);
-    let read: Told = serde_json::from_slice(&serde_json::to_vec(&told).unwrap()).unwrap();
+    let read: AgentResponse = serde_json::from_slice(&serde_json::to_vec(&told).unwrap()).unwrap();
     assert_eq!(read.view, told.view);
-    let read: Ask = serde_json::from_slice(&serde_json::to_vec(&ask()).unwrap()).unwrap();
-    assert!(read.wants_counts && !read.wants_lists && !read.releases && read.orders.is_empty());
+    let read: LeaderRequest = serde_json::from_slice(&serde_json::to_vec(&ask()).unwrap()).unwrap();
+    assert!(read.wants_counts && !read.wants_held_experts && !read.releases_grant && read.orders.is_empty());
 }
