--- a/crates/ochreyard-agent/src/call.rs
+++ b/crates/ochreyard-agent/src/call.rs
@@ -140,7 +140,7 @@
             if !is_caller_connected && call.offer.repeatable {
                 return Streamed::CallerGone;
             }
-            match answer.next_part().await {
+            match answer.next_chunk().await {
                 Ok(Some(part)) => {
                     collector.add(&part);
                     let frame = writer.frame(FrameBody::Data(part.to_vec()));
@@ -157,7 +157,7 @@
         let context = CallContext {
             attempt: &attempt,
             workspace: call.offer.workspace.as_str(),
-            may_keep: self.may_store_data(&call.offer),
+            may_cache: self.may_store_data(&call.offer),
         };
         let request = EndpointRequest {
             method: &call.request.method,
--- a/crates/ochreyard-caller/src/answer.rs
+++ b/crates/ochreyard-caller/src/answer.rs
@@ -12,7 +12,7 @@
 pub const REQUEST_ID: &str = "ochreyard-request-id";
 
 /// A part of the body, or the reason why there will be no more.
-pub type Part = Result<Bytes, Refusal>;
+pub type BodyChunk = Result<Bytes, Refusal>;
 
 /// An answer whose body follows part by part. The body is whole only if
 /// `parts` ends without a refusal.
@@ -23,7 +23,7 @@
     /// Value of `Content-Type`; empty for none.
     pub content_type: String,
     /// The body.
-    pub parts: mpsc::Receiver<Part>,
+    pub parts: mpsc::Receiver<BodyChunk>,
 }
 
 /// The final word on one request.
--- a/crates/ochreyard-caller/src/call.rs
+++ b/crates/ochreyard-caller/src/call.rs
@@ -29,7 +29,7 @@
 
 /// One request, ready to be routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CallerCall {
+pub struct CallerRequest {
     /// SHA-256 of the bearer token.
     pub token_sha256: String,
     /// The service that is meant.
@@ -61,7 +61,7 @@
 /// What stands behind the callers' side.
 pub trait CallHandler: Send + Sync + 'static {
     /// Answers one request.
-    fn call(&self, call: CallerCall) -> impl Future<Output = CallerReply> + Send;
+    fn call(&self, call: CallerRequest) -> impl Future<Output = CallerReply> + Send;
 
     /// Whether the balancer should send requests here.
     fn is_ready(&self) -> bool;
@@ -77,7 +77,7 @@
 }
 
 /// Reads a request within `limits`.
-pub(crate) async fn read(request: Request<Body>, limits: &CallerLimits) -> Result<CallerCall, Refusal> {
+pub(crate) async fn read(request: Request<Body>, limits: &CallerLimits) -> Result<CallerRequest, Refusal> {
     let (parts, body) = request.into_parts();
     check_head(&parts.uri.to_string(), &parts.headers, limits)?;
     let token_sha256 = hash::sha256_hex(bearer(&parts.headers)?);
@@ -97,7 +97,7 @@
     let fingerprint = [parts.method.as_str().as_bytes(), path_and_query.as_bytes(), &body]
         .iter()
         .fold(hash::fnv1a(&[]), |state, part| hash::fnv1a_from(state, part));
-    Ok(CallerCall {
+    Ok(CallerRequest {
         token_sha256,
         service: target.service,
         is_model,
--- a/crates/ochreyard-caller/src/lib.rs
+++ b/crates/ochreyard-caller/src/lib.rs
@@ -8,7 +8,7 @@
 mod limits;
 mod router;
 
-pub use answer::{CallerAnswer, CallerReply, Part};
-pub use call::{CallHandler, CallerCall};
+pub use answer::{BodyChunk, CallerAnswer, CallerReply};
+pub use call::{CallHandler, CallerRequest};
 pub use limits::CallerLimits;
 pub use router::router;
--- a/crates/ochreyard-endpoint/src/answer.rs
+++ b/crates/ochreyard-endpoint/src/answer.rs
@@ -21,7 +21,7 @@
     /// # Errors
     ///
     /// [`EndpointError::Failed`] when the body broke off.
-    pub async fn next_part(&mut self) -> Result<Option<Bytes>, EndpointError> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, EndpointError> {
         self.response.chunk().await.map_err(EndpointError::Failed)
     }
 }
--- a/crates/ochreyard-endpoint/src/client.rs
+++ b/crates/ochreyard-endpoint/src/client.rs
@@ -39,7 +39,7 @@
     /// The workspace, so that caches are kept apart.
     pub workspace: &'a str,
     /// Whether the workspace's data may rest in the endpoint's data centre.
-    pub may_keep: bool,
+    pub may_cache: bool,
 }
 
 /// A client of one endpoint.
@@ -132,7 +132,7 @@
 }
 
 fn with_context(builder: RequestBuilder, context: CallContext<'_>) -> RequestBuilder {
-    let cache = if context.may_keep { "keep" } else { "no-store" };
+    let cache = if context.may_cache { "keep" } else { "no-store" };
     builder
         .header("ochreyard-attempt", context.attempt)
         .header("ochreyard-workspace", context.workspace)
--- a/crates/ochreyard-entry/src/control.rs
+++ b/crates/ochreyard-entry/src/control.rs
@@ -92,7 +92,7 @@
     async fn plan(&self, yaml: String) -> Result<Plan, ControlError> {
         self.refresh().await?;
         let config = self.balancer.ask(GetConfig {}).await.ok().flatten().unwrap_or_default();
-        let change = intent::read(&yaml, &config)
+        let change = intent::parse(&yaml, &config)
             .map_err(|faults| ControlError { refusal: Refusal::new(ErrorKind::BadIntent), faults })?;
         let number = self.plans.fetch_add(1, Ordering::Relaxed);
         let plan = Plan::new(PlanId::from(format!("p-{}-{number}", self.incarnation)), &config, change);
--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use kameo::actor::ActorRef;
 use metrics_exporter_prometheus::PrometheusHandle;
-use ochreyard_caller::{CallHandler, CallerAnswer, CallerCall, CallerReply, Part};
+use ochreyard_caller::{BodyChunk, CallHandler, CallerAnswer, CallerReply, CallerRequest};
 use ochreyard_core::admission::{IdempotencyKey, Offer, RevokeAnswer};
 use ochreyard_core::dispatch::{Dispatch, RetryDecision};
 use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
@@ -46,7 +46,7 @@
 }
 
 impl CallHandler for Forwarder {
-    async fn call(&self, call: CallerCall) -> CallerReply {
+    async fn call(&self, call: CallerRequest) -> CallerReply {
         let guard = CountGuard::new(&self.in_flight);
         let started = Instant::now();
         if self.refusing.load(Ordering::Relaxed) {
@@ -90,7 +90,7 @@
 
 struct Request<'a> {
     forwarder: &'a Forwarder,
-    call: CallerCall,
+    call: CallerRequest,
     admitted: Admitted,
     started: Instant,
 }
@@ -232,7 +232,7 @@
     end: Option<Result<CallEnd, LinkError>>,
     deadline: Instant,
     first: Option<FrameBody>,
-    parts: Option<mpsc::Sender<Part>>,
+    parts: Option<mpsc::Sender<BodyChunk>>,
     _in_flight: CountGuard,
 }
 
--- a/crates/ochreyard-entry/src/operate.rs
+++ b/crates/ochreyard-entry/src/operate.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use miette::{Context, IntoDiagnostic, Result};
-use ochreyard_operator::{BurnRow, OperatorClient, Story, render_burn, render_plan, render_status};
+use ochreyard_operator::{BurnRow, OperatorClient, RequestTimeline, render_burn, render_plan, render_status};
 
 use crate::flags;
 
@@ -45,7 +45,7 @@
     if args.logs.is_empty() {
         miette::bail!("no log is named; give the log files of all entries and agents after the identifier");
     }
-    let story = Story::read(&args.request, &args.logs).into_diagnostic().wrap_err("a log cannot be read")?;
+    let story = RequestTimeline::read(&args.request, &args.logs).into_diagnostic().wrap_err("a log cannot be read")?;
     for unreadable in story.unreadable() {
         let (log, lines, first) = (unreadable.log.display(), unreadable.lines, unreadable.first);
         eprintln!("{log}: {lines} lines cannot be read and are passed over, the first is line {first}");
--- a/crates/ochreyard-operator/src/api.rs
+++ b/crates/ochreyard-operator/src/api.rs
@@ -71,7 +71,7 @@
 
 /// The answer to a confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Confirmed {
+pub struct ConfirmResponse {
     /// The version that the plan came into force with.
     pub version: u64,
 }
@@ -111,9 +111,9 @@
 async fn confirm<C: Control>(
     State(control): State<Arc<C>>,
     Path(plan_id): Path<String>,
-) -> Result<Json<Confirmed>, ControlError> {
+) -> Result<Json<ConfirmResponse>, ControlError> {
     let version = control.confirm(PlanId::from(plan_id)).await?;
-    Ok(Json(Confirmed { version }))
+    Ok(Json(ConfirmResponse { version }))
 }
 
 async fn status<C: Control>(State(control): State<Arc<C>>) -> Json<Status> {
--- a/crates/ochreyard-operator/src/client.rs
+++ b/crates/ochreyard-operator/src/client.rs
@@ -6,7 +6,7 @@
 use reqwest::{Client, RequestBuilder};
 use serde::de::DeserializeOwned;
 
-use crate::api::{ApiError, Confirmed};
+use crate::api::{ApiError, ConfirmResponse};
 use crate::report::{BurnRow, Status};
 
 /// How long an entry may take to answer.
@@ -65,7 +65,7 @@
     ///
     /// [`ClientError`] when it was refused or its fate is not known.
     pub async fn confirm(&self, plan_id: &str) -> Result<u64, ClientError> {
-        let confirmed: Confirmed = self.ask(self.http.post(self.url(&format!("confirm/{plan_id}")))).await?;
+        let confirmed: ConfirmResponse = self.ask(self.http.post(self.url(&format!("confirm/{plan_id}")))).await?;
         Ok(confirmed.version)
     }
 
--- a/crates/ochreyard-operator/src/intent.rs
+++ b/crates/ochreyard-operator/src/intent.rs
@@ -15,12 +15,12 @@
 ///
 /// ```
 /// use ochreyard_core::config::Configuration;
-/// use ochreyard_operator::intent::read;
+/// use ochreyard_operator::intent::parse;
 ///
-/// let faults = read("services: [{service: maps, kind: modle}]", &Configuration::default()).unwrap_err();
+/// let faults = parse("services: [{service: maps, kind: modle}]", &Configuration::default()).unwrap_err();
 /// assert!(faults[0].problem.contains("modle"));
 /// ```
-pub fn read(yaml: &str, base: &Configuration) -> Result<Change, Vec<ChangeError>> {
+pub fn parse(yaml: &str, base: &Configuration) -> Result<Change, Vec<ChangeError>> {
     if yaml.len() > MAX_INTENT_BYTES {
         let fix = format!("split it into parts of at most {MAX_INTENT_BYTES} bytes");
         return Err(vec![ChangeError::new("intent", "is too large", fix)]);
--- a/crates/ochreyard-operator/src/lib.rs
+++ b/crates/ochreyard-operator/src/lib.rs
@@ -7,8 +7,8 @@
 mod client;
 pub mod intent;
 mod report;
-mod story;
+mod timeline;
 
 pub use client::{ClientError, OperatorClient};
 pub use report::{BurnRow, EndpointRow, Status, render_burn, render_plan, render_status};
-pub use story::{Story, Unreadable};
+pub use timeline::{RequestTimeline, UnreadableLines};
--- a/crates/ochreyard-operator/src/story.rs
+++ b/crates/ochreyard-operator/src/timeline.rs
@@ -42,7 +42,7 @@
 
 /// Lines of one log that could not be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableLines {
     /// The log.
     pub log: PathBuf,
     /// How many.
@@ -53,7 +53,7 @@
 
 /// One request's story.
 #[derive(Debug, Clone, Default)]
-pub struct Story {
+pub struct RequestTimeline {
     request: String,
     fingerprints: BTreeSet<String>,
     endpoints: BTreeSet<String>,
@@ -61,10 +61,10 @@
     until_ms: u64,
     told: Vec<Told>,
     left_out: u64,
-    unreadable: Vec<Unreadable>,
+    unreadable: Vec<UnreadableLines>,
 }
 
-impl Story {
+impl RequestTimeline {
     /// Reads the story of `request` out of `logs`.
     ///
     /// # Errors
@@ -91,7 +91,7 @@
 
     /// Lines that could not be read, by log.
     #[must_use]
-    pub fn unreadable(&self) -> &[Unreadable] {
+    pub fn unreadable(&self) -> &[UnreadableLines] {
         &self.unreadable
     }
 
@@ -138,7 +138,7 @@
     }
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for RequestTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(from_ms) = self.from_ms else {
             return writeln!(f, "no line names request {}", self.request);
@@ -155,9 +155,9 @@
 }
 
 /// Hands each line of a log that can be read to `take`. Gives those that cannot, if there are any.
-fn each_line(log: &Path, mut take: impl FnMut(&LogLine<'_>)) -> io::Result<Option<Unreadable>> {
+fn each_line(log: &Path, mut take: impl FnMut(&LogLine<'_>)) -> io::Result<Option<UnreadableLines>> {
     let mut reader = LineReader::open(log)?;
-    let mut unreadable: Option<Unreadable> = None;
+    let mut unreadable: Option<UnreadableLines> = None;
     let mut number = 0;
     loop {
         number += 1;
@@ -169,7 +169,7 @@
         match parsed {
             Some(line) => take(&line),
             None => {
-                let first = Unreadable { log: log.to_owned(), lines: 0, first: number };
+                let first = UnreadableLines { log: log.to_owned(), lines: 0, first: number };
                 unreadable.get_or_insert(first).lines += 1;
             }
         }
--- a/crates/ochreyard-operator/tests/story.rs
+++ b/crates/ochreyard-operator/tests/timeline.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use ochreyard_operator::Story;
+use ochreyard_operator::RequestTimeline;
 
 /// A log in a file of its own.
 fn log(name: &str, lines: &[u8]) -> PathBuf {
@@ -18,7 +18,7 @@
 }
 
 /// The places of these texts in the story, which must rise.
-fn assert_in_order(story: &Story, texts: &[&str]) {
+fn assert_in_order(story: &RequestTimeline, texts: &[&str]) {
     let told = story.to_string();
     let places: Vec<usize> =
         texts.iter().map(|text| told.find(text).unwrap_or_else(|| panic!("{text}\n{told}"))).collect();
@@ -43,7 +43,7 @@
             + &line(9_001, "event=request_failed request=r9 route=a kind=quarantined why=Quarantined"))
             .as_bytes(),
     );
-    let story = Story::read("r9", &[second, first]).unwrap();
+    let story = RequestTimeline::read("r9", &[second, first]).unwrap();
     assert_in_order(
         &story,
         &[
@@ -66,7 +66,7 @@
             + &line(60_000, "event=group_state group=g0 serving=true teller=Leads"))
             .as_bytes(),
     );
-    let story = Story::read("r1", &[entry]).unwrap();
+    let story = RequestTimeline::read("r1", &[entry]).unwrap();
     assert_in_order(&story, &["serving=false", "why=Stands"]);
     assert!(!story.to_string().contains("serving=true"), "long after");
 }
@@ -79,7 +79,7 @@
             + &line(2_000, "event=request_failed request=r1 kind=overloaded why=Limited { left_ms: 5000 } sent=0"))
             .as_bytes(),
     );
-    let story = Story::read("r1", &[entry]).unwrap();
+    let story = RequestTimeline::read("r1", &[entry]).unwrap();
     assert_in_order(&story, &["limit_per_s=1", "why=Limited"]);
 }
 
@@ -94,7 +94,7 @@
             ))
         .as_bytes(),
     );
-    let story = Story::read("r1", &[entry]).unwrap();
+    let story = RequestTimeline::read("r1", &[entry]).unwrap();
     assert_in_order(&story, &["data_centres=\"east\"", "evacuated=\"east\" cold=2 not_at_home=3"]);
 }
 
@@ -107,7 +107,7 @@
             + &line(2_500, "event=stream_broken request=r1 endpoint=i-2 cause=\"ended within an event\""))
             .as_bytes(),
     );
-    let story = Story::read("r1", &[entry]).unwrap();
+    let story = RequestTimeline::read("r1", &[entry]).unwrap();
     assert_in_order(&story, &["attempt=1", "found=Crashed", "event=stream_broken"]);
 }
 
@@ -120,7 +120,7 @@
     bytes.extend(line(2_000, "event=request_waited request=r1 outcome=sent").into_bytes());
     bytes.extend(b"ts_ms=3000 level=info target=x event=request_failed request=r1 cut");
     let path = log("edge-5", &bytes);
-    let story = Story::read("r1", std::slice::from_ref(&path)).unwrap();
+    let story = RequestTimeline::read("r1", std::slice::from_ref(&path)).unwrap();
     assert_in_order(&story, &["why=Full", "outcome=sent", "request=r1 cut"]);
     let [unreadable] = story.unreadable() else { panic!("{:?}", story.unreadable()) };
     assert_eq!((&unreadable.log, unreadable.lines, unreadable.first), (&path, 4, 1));
@@ -129,8 +129,8 @@
 #[test]
 fn a_request_that_nobody_names_and_a_log_that_is_not_there_are_said() {
     let empty = log("edge-6", b"");
-    let story = Story::read("r1", &[empty]).unwrap();
+    let story = RequestTimeline::read("r1", &[empty]).unwrap();
     assert!(story.is_empty());
     assert_eq!(story.to_string(), "no line names request r1\n");
-    assert!(Story::read("r1", &[PathBuf::from("/nowhere/at-all.log")]).is_err());
+    assert!(RequestTimeline::read("r1", &[PathBuf::from("/nowhere/at-all.log")]).is_err());
 }
