--- a/crates/ochreyard-caller/src/answer.rs
+++ b/crates/ochreyard-caller/src/answer.rs
@@ -15,7 +15,7 @@
 pub type BodyChunk = Result<Bytes, Refusal>;
 
 /// An answer whose body follows part by part. The body is whole only if
-/// `parts` ends without a refusal.
+/// `chunks` ends without a refusal.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// HTTP status.
@@ -23,7 +23,7 @@
     /// Value of `Content-Type`; empty for none.
     pub content_type: String,
     /// The body.
-    pub parts: mpsc::Receiver<BodyChunk>,
+    pub chunks: mpsc::Receiver<BodyChunk>,
 }
 
 /// The final word on one request.
@@ -50,10 +50,10 @@
 }
 
 fn whole_response(answer: CallerAnswer) -> Response<Body> {
-    let CallerAnswer { status, content_type, mut parts } = answer;
+    let CallerAnswer { status, content_type, mut chunks } = answer;
     let is_event_stream = content_type.starts_with("text/event-stream");
     let body = async_stream::stream! {
-        while let Some(part) = parts.recv().await {
+        while let Some(part) = chunks.recv().await {
             match part {
                 Ok(bytes) => yield Ok(bytes),
                 Err(refusal) => {
--- a/crates/ochreyard-entry/src/balancer.rs
+++ b/crates/ochreyard-entry/src/balancer.rs
@@ -1,4 +1,6 @@
 //! The actor that owns the entry's state.
+//!
+//! Each of its messages reports one event, or asks for a part of the state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,9 +15,9 @@
 use ochreyard_operator::{BurnRow, Status};
 use ochreyard_process::Clock;
 
-use crate::state::{Admitted, DueBeat, EntryState, Lacking, Target, Wanted};
+use crate::state::{AdmittedRequest, ConfigUpdate, DueHeartbeat, EntryState, PickRequest, Target};
 
-/// Owns the state of the entry; each message is one event.
+/// The actor that owns the state of the entry and picks endpoints for requests.
 #[derive(Actor)]
 pub struct Balancer {
     state: EntryState,
@@ -23,16 +25,16 @@
 }
 
 impl Balancer {
-    /// An actor for `state`.
+    /// Creates an actor that owns `state`.
     #[must_use]
     pub const fn new(state: EntryState, clock: Clock) -> Self {
         Self { state, clock }
     }
 }
 
-/// Declares a message, its fields and its handler.
+/// Declares a message type with its fields, its reply type and its handler.
 macro_rules! message {
-    ($(#[$doc:meta])* $name:ident { $($(#[$fdoc:meta])* $field:ident: $type:ty),* } -> $reply:ty, |$me:ident, $msg:ident| $body:expr) => {
+    ($(#[$doc:meta])* $name:ident { $($(#[$fdoc:meta])* $field:ident: $type:ty),* } -> $reply:ty, |$actor:ident, $msg:ident| $body:expr) => {
         $(#[$doc])*
         pub struct $name { $($(#[$fdoc])* pub $field: $type),* }
 
@@ -40,7 +42,7 @@
             type Reply = $reply;
 
             async fn handle(&mut self, $msg: $name, _: &mut Context<Self, Self::Reply>) -> $reply {
-                let $me = self;
+                let $actor = self;
                 $body
             }
         }
@@ -48,161 +50,161 @@
 }
 
 message!(
-    /// A page of the log has been read.
-    ReadPage {
-        /// The page.
+    /// Applies a page of the log, and returns the resulting events.
+    ApplyPage {
+        /// The page that was read.
         page: LogPage,
-        /// When it was asked for.
+        /// When the page was requested.
         started_ms: u64
     } -> Vec<FoldEvent>,
-    |me, msg| me.state.read_page(&msg.page, msg.started_ms, me.clock.now_ms())
+    |actor, msg| actor.state.apply_page(&msg.page, msg.started_ms, actor.clock.now_ms())
 );
 message!(
-    /// Asks for the offset to read from next.
-    Cursor {} -> u64,
-    |me, _msg| me.state.fold().cursor()
+    /// Returns the log offset to read from next.
+    GetCursor {} -> u64,
+    |actor, _msg| actor.state.fold().cursor()
 );
 message!(
-    /// An agent has reported. What the agent lacks of the configuration comes back.
-    TakeReport {
+    /// Applies the report of an agent. Returns the configuration update that the agent needs, if any.
+    ApplyReport {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The address of its agent, if the configuration no longer names it.
+        /// The address of the agent, if the configuration no longer names it.
         former_addr: Option<SocketAddr>,
-        /// What its agent said.
+        /// The report of its agent.
         report: AgentReport
-    } -> Option<Lacking>,
-    |me, msg| match msg.former_addr {
-        Some(addr) => me.state.take_former_report((msg.endpoint, addr), msg.report.config_version),
-        None => me.state.take_report(&msg.endpoint, msg.report, me.clock.now_ms()),
+    } -> Option<ConfigUpdate>,
+    |actor, msg| match msg.former_addr {
+        Some(addr) => actor.state.apply_former_report((msg.endpoint, addr), msg.report.config_version),
+        None => actor.state.apply_report(&msg.endpoint, msg.report, actor.clock.now_ms()),
     }
 );
 message!(
-    /// The link to an agent broke.
-    LinkBroke {
+    /// Records that the link to an agent was lost.
+    LinkLost {
         /// The endpoint.
         endpoint: EndpointId
     } -> (),
-    |me, msg| me.state.link_broke(&msg.endpoint)
+    |actor, msg| actor.state.on_link_lost(&msg.endpoint)
 );
 message!(
-    /// The platform's list of boxes.
-    TakeBoxList {
-        /// Endpoints whose boxes leave.
+    /// Applies the platform's list of boxes.
+    ApplyBoxList {
+        /// Endpoints whose boxes are leaving.
         leaving: Vec<EndpointId>
     } -> (),
-    |me, msg| me.state.take_box_list(&msg.leaving)
+    |actor, msg| actor.state.apply_box_list(&msg.leaving)
 );
 message!(
-    /// Asks which heartbeats are due.
-    DueBeats {} -> Vec<DueBeat>,
-    |me, _msg| me.state.due_beats(me.clock.now_ms())
+    /// Returns the heartbeats to send in this round.
+    DueHeartbeats {} -> Vec<DueHeartbeat>,
+    |actor, _msg| actor.state.due_heartbeats(actor.clock.now_ms())
 );
 message!(
-    /// Asks which records this entry should write now.
+    /// Returns the records that this entry should append to the log now.
     DueRecords {} -> Vec<ConfigRecord>,
-    |me, _msg| {
-        let now_ms = me.clock.now_ms();
-        me.state.due_acks().into_iter().chain(me.state.due_snapshot(now_ms)).collect()
+    |actor, _msg| {
+        let now_ms = actor.clock.now_ms();
+        actor.state.due_home_acks().into_iter().chain(actor.state.due_snapshot(now_ms)).collect()
     }
 );
 message!(
-    /// A caller's request has arrived.
+    /// Authenticates and authorizes a caller's request.
     Admit {
-        /// SHA-256 of its bearer token.
+        /// SHA-256 of the bearer token, in hexadecimal.
         token_sha256: String,
-        /// The service that is meant.
+        /// The requested service.
         service: ServiceId,
-        /// Whether it came by a path of the model services.
+        /// Whether the request came in on a path of the model API.
         is_model: bool
-    } -> Result<Admitted, Refusal>,
-    |me, msg| me.state.admit(&msg.token_sha256, &msg.service, msg.is_model)
+    } -> Result<AdmittedRequest, Refusal>,
+    |actor, msg| actor.state.admit(&msg.token_sha256, &msg.service, msg.is_model)
 );
 message!(
-    /// A request needs an endpoint.
+    /// Picks an endpoint for a request.
     Pick {
-        /// What is needed.
-        wanted: Wanted
+        /// The request, and which endpoints it has tried.
+        request: PickRequest
     } -> Result<Target, Refusal>,
-    |me, msg| me.state.pick(&msg.wanted, me.clock.now_ms())
+    |actor, msg| actor.state.pick(&msg.request, actor.clock.now_ms())
 );
 message!(
-    /// An attempt has failed.
-    Judge {
-        /// The request.
+    /// Records a failed attempt, and decides whether the request is retried.
+    HandleFailure {
+        /// The dispatch state of the request.
         dispatch: Dispatch,
-        /// The endpoint that was tried.
+        /// The endpoint at which the attempt failed.
         endpoint: EndpointId,
-        /// How it failed.
+        /// Why the attempt failed.
         refusal: Refusal
     } -> Result<(Dispatch, RetryDecision), Refusal>,
-    |me, msg| {
-        let Judge { mut dispatch, endpoint, refusal } = msg;
-        me.state.learn_from(&endpoint, &refusal);
-        let next = dispatch.on_failure(refusal, me.state.budget(), me.clock.now_ms());
+    |actor, msg| {
+        let HandleFailure { mut dispatch, endpoint, refusal } = msg;
+        actor.state.on_refusal(&endpoint, &refusal);
+        let next = dispatch.on_failure(refusal, actor.state.budget(), actor.clock.now_ms());
         Ok((dispatch, next))
     }
 );
 message!(
-    /// A request has come to its end.
-    Count {
+    /// Records the outcome of a request for the burn rates.
+    RecordOutcome {
         /// The service.
         service: ServiceId,
         /// The workspace.
         workspace: WorkspaceId,
-        /// Its error kind, if it failed.
+        /// The error kind, if the request failed.
         failure: Option<ErrorKind>,
-        /// Whether a whole answer missed its time.
+        /// Whether a complete answer missed its latency target.
         late: bool
     } -> (),
-    |me, msg| me.state.count(msg.service, msg.workspace, msg.failure, msg.late, me.clock.now_ms())
+    |actor, msg| actor.state.record_outcome(msg.service, msg.workspace, msg.failure, msg.late, actor.clock.now_ms())
 );
 message!(
-    /// Asks for the configuration in force.
+    /// Returns the configuration in force.
     GetConfig {} -> Option<Arc<Configuration>>,
-    |me, _msg| me.state.fold().state().cloned()
+    |actor, _msg| actor.state.fold().state().cloned()
 );
 message!(
-    /// Asks for a plan that waits to be confirmed.
+    /// Returns a plan that has not been confirmed yet.
     GetProposal {
         /// The plan.
         plan_id: PlanId
     } -> Option<ConfirmedPlan>,
-    |me, msg| me.state.fold().proposal(&msg.plan_id).cloned()
+    |actor, msg| actor.state.fold().proposal(&msg.plan_id).cloned()
 );
 message!(
-    /// Asks what became of a confirmed plan.
+    /// Returns the outcome of a confirmed plan: its version, or why it is void.
     GetOutcome {
         /// The plan.
         plan_id: PlanId
     } -> Option<Result<u64, VoidReason>>,
-    |me, msg| me.state.fold().outcome(&msg.plan_id).cloned()
+    |actor, msg| actor.state.fold().outcome(&msg.plan_id).cloned()
 );
 message!(
-    /// Asks for the status.
+    /// Returns the status that operators see.
     GetStatus {} -> Option<Status>,
-    |me, _msg| Some(me.state.status(me.clock.now_ms()))
+    |actor, _msg| Some(actor.state.status(actor.clock.now_ms()))
 );
 message!(
-    /// Asks for the report on burn.
+    /// Returns the burn rates by service and workspace.
     GetBurn {} -> Vec<BurnRow>,
-    |me, _msg| me.state.burn_rows(me.clock.now_ms())
+    |actor, _msg| actor.state.burn_rows(actor.clock.now_ms())
 );
 message!(
-    /// A peer's configuration.
-    Adopt {
+    /// Adopts the configuration of another entry if it is newer. Returns whether it was adopted.
+    AdoptConfig {
         /// The configuration.
         config: Arc<Configuration>
     } -> bool,
-    |me, msg| me.state.adopt(msg.config)
+    |actor, msg| actor.state.adopt(msg.config)
 );
 message!(
-    /// Asks whether peers should be asked for their configuration.
-    NeedsPeers {} -> bool,
-    |me, _msg| me.state.needs_peers()
+    /// Returns whether other entries should be asked for their configuration.
+    NeedsPeerConfig {} -> bool,
+    |actor, _msg| actor.state.needs_peer_config()
 );
 message!(
-    /// Asks for a seed of the log, if it has lost everything.
+    /// Returns a seed record for the log, if the log has lost the state.
     GetSeed {} -> Option<ConfigRecord>,
-    |me, _msg| me.state.seed()
+    |actor, _msg| actor.state.seed()
 );
--- a/crates/ochreyard-entry/src/control.rs
+++ b/crates/ochreyard-entry/src/control.rs
@@ -1,4 +1,4 @@
-//! What an entry does for operators.
+//! The operations of an entry that operators call.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -15,31 +15,31 @@
 use crate::balancer::{Balancer, GetBurn, GetConfig, GetOutcome, GetProposal, GetStatus};
 use crate::upkeep::read_to_end;
 
-/// How often a record is looked for after an append whose answer was lost.
-const READ_BACK_TRIES: u32 = 5;
-/// Pause between looks.
+/// Attempts to find the outcome of a plan in the log after an append of its confirmation whose answer was lost.
+const READ_BACK_ATTEMPTS: u32 = 5;
+/// Pause between these attempts.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(200);
 
-/// The operators' side of the entry.
+/// Carries out the calls of operators.
 pub struct EntryControl {
-    /// Owns the state.
+    /// The actor that owns the state.
     pub balancer: ActorRef<Balancer>,
-    /// The configuration stream.
+    /// The configuration stream of the log.
     pub log: HttpPlatform,
-    /// Time.
+    /// The clock of the process.
     pub clock: Clock,
-    /// The life of this entry, part of the identifiers of its plans.
+    /// The incarnation of this entry, which is part of the identifiers of its plans.
     pub incarnation: Incarnation,
-    /// Running number of plans.
-    pub plans: AtomicU64,
+    /// The number of plans made so far, which gives each plan its number.
+    pub plan_count: AtomicU64,
 }
 
 fn unavailable(error: &PlatformError) -> ControlError {
     Refusal::new(error.kind()).with_detail(error.to_string()).into()
 }
 
-fn overtaken(void: &VoidReason) -> ControlError {
-    Refusal::new(ErrorKind::PlanOvertaken).with_detail(void.to_string()).into()
+fn overtaken(reason: &VoidReason) -> ControlError {
+    Refusal::new(ErrorKind::PlanOvertaken).with_detail(reason.to_string()).into()
 }
 
 impl EntryControl {
@@ -52,10 +52,10 @@
         self.log.append(&text).await
     }
 
-    /// What became of the plan, if the log says so by now.
+    /// Returns the outcome of the plan, if the log that was read so far contains it.
     async fn outcome(&self, plan_id: &PlanId) -> Option<Result<u64, ControlError>> {
         let outcome = self.balancer.ask(GetOutcome { plan_id: plan_id.clone() }).await.ok().flatten()?;
-        Some(outcome.map_err(|void| overtaken(&void)))
+        Some(outcome.map_err(|reason| overtaken(&reason)))
     }
 
     async fn proposal(&self, plan_id: &PlanId) -> Result<ConfirmedPlan, ControlError> {
@@ -63,17 +63,17 @@
         found.ok_or_else(|| Refusal::new(ErrorKind::PlanUnknown).with_detail(plan_id.to_string()).into())
     }
 
-    /// Refuses a plan that would be void, before anything is written.
-    async fn check_still_good(&self, plan: &ConfirmedPlan) -> Result<(), ControlError> {
+    /// Refuses a plan that would be void, before its confirmation is appended.
+    async fn check_not_void(&self, plan: &ConfirmedPlan) -> Result<(), ControlError> {
         let config = self.balancer.ask(GetConfig {}).await.ok().flatten();
-        let mut trial = config.map(|config| (*config).clone()).unwrap_or_default();
-        let next_offset = trial.folded_to();
-        trial.apply(next_offset, plan).map(drop).map_err(|void| overtaken(&void))
+        let mut candidate = config.map(|config| (*config).clone()).unwrap_or_default();
+        let next_offset = candidate.folded_to();
+        candidate.apply(next_offset, plan).map(drop).map_err(|reason| overtaken(&reason))
     }
 
-    /// Looks for the plan's outcome until it is seen or the tries are used up.
+    /// Reads the log until it contains the plan's outcome, or until the attempts are used up.
     async fn read_back(&self, plan_id: &PlanId, appended: &Result<u64, PlatformError>) -> Result<u64, ControlError> {
-        for _ in 0..READ_BACK_TRIES {
+        for _ in 0..READ_BACK_ATTEMPTS {
             let refreshed = self.refresh().await;
             if let Some(outcome) = self.outcome(plan_id).await {
                 return outcome;
@@ -94,7 +94,7 @@
         let config = self.balancer.ask(GetConfig {}).await.ok().flatten().unwrap_or_default();
         let change = intent::parse(&yaml, &config)
             .map_err(|faults| ControlError { refusal: Refusal::new(ErrorKind::BadIntent), faults })?;
-        let number = self.plans.fetch_add(1, Ordering::Relaxed);
+        let number = self.plan_count.fetch_add(1, Ordering::Relaxed);
         let plan = Plan::new(PlanId::from(format!("p-{}-{number}", self.incarnation)), &config, change);
         let proposed = ConfigRecord::Proposed(plan.record.clone());
         self.append(&proposed).await.map_err(|error| unavailable(&error))?;
@@ -103,13 +103,13 @@
     }
 
     async fn confirm(&self, plan_id: PlanId) -> Result<u64, ControlError> {
-        // An earlier confirmation whose answer was lost may have taken effect: look before writing.
+        // An earlier confirmation whose answer was lost may have taken effect, so read the log before appending again.
         self.refresh().await?;
         if let Some(outcome) = self.outcome(&plan_id).await {
             return outcome;
         }
         let plan = self.proposal(&plan_id).await?;
-        self.check_still_good(&plan).await?;
+        self.check_not_void(&plan).await?;
         let appended = self.append(&ConfigRecord::Confirmed(plan)).await;
         self.read_back(&plan_id, &appended).await
     }
--- a/crates/ochreyard-entry/src/fields.rs
+++ b/crates/ochreyard-entry/src/fields.rs
@@ -1,8 +1,8 @@
-//! The table of settings.
+//! Settings of an entry that routes through agents.
 
 use ochreyard_process::{FieldKind, FieldSpec, LOG_LEVEL, LOG_LINES_PER_S, LOG_TARGET};
 
-/// Every field of the entry's settings.
+/// All settings.
 pub const FIELDS: &[FieldSpec] = &[
     FieldSpec { name: "entry", kind: FieldKind::Name, default: None, about: "name of this box" },
     FieldSpec { name: "data_centre", kind: FieldKind::Name, default: None, about: "where it stands" },
--- a/crates/ochreyard-entry/src/flags.rs
+++ b/crates/ochreyard-entry/src/flags.rs
@@ -4,35 +4,35 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Ochreyard: load balancer for expert-parallel model groups.
+    /// Ochreyard, a load balancer for expert-parallel model groups.
     cmd ochreyard {
-        /// Runs an entry. SIGTERM is a planned stop.
+        /// Runs an entry. SIGTERM shuts it down gracefully.
         cmd serve {
             /// The settings file, in YAML.
             required settings: PathBuf
         }
-        /// Runs an entry that calls endpoints itself, without agents between.
+        /// Runs an entry that calls endpoints directly, without agents.
         cmd direct {
             /// The settings file, in YAML.
             required settings: PathBuf
         }
-        /// Checks a settings file and lists all its faults.
+        /// Checks a settings file and lists all its errors.
         cmd check {
-            /// The file is one for `direct`.
+            /// Checks a file for `direct`.
             optional --direct
             /// The settings file, in YAML.
             required settings: PathBuf
         }
-        /// Prints the reference of all settings: of `serve`, or of `direct`.
+        /// Prints the reference of all settings of `serve`, or of `direct`.
         cmd fields {
-            /// Prints those of `direct`.
+            /// Prints the settings of `direct`.
             optional --direct
         }
-        /// Sends an intent and prints the plan. Nothing changes before `confirm`.
+        /// Sends an intent and prints the resulting plan. Nothing changes until `confirm`.
         cmd plan {
             /// The intent, in YAML.
             required intent: PathBuf
-            /// Operators' address of an entry, for example http://127.0.0.1:8081.
+            /// URL of an entry's `operators_addr`, for example http://127.0.0.1:8081.
             required --entry url: String
             /// File with the operators' token.
             required --token-file file: PathBuf
@@ -41,51 +41,51 @@
         }
         /// Confirms a plan and waits until it is in force at the entry.
         cmd confirm {
-            /// Identifier of the plan.
+            /// Identifier of the plan, as `plan` prints it.
             required plan_id: String
-            /// Operators' address of an entry.
+            /// URL of an entry's `operators_addr`.
             required --entry url: String
             /// File with the operators' token.
             required --token-file file: PathBuf
         }
-        /// Shows the system as one entry sees it.
+        /// Shows the state of the system as one entry sees it.
         cmd status {
-            /// Operators' address of an entry.
+            /// URL of an entry's `operators_addr`.
             required --entry url: String
             /// File with the operators' token.
             required --token-file file: PathBuf
             /// Prints the status as JSON.
             optional --json
         }
-        /// Requests that are refused because they crashed the endpoints which ran them.
+        /// Manages requests that are refused because they crashed endpoints.
         cmd quarantine {
-            /// Lists them, as one entry knows them.
+            /// Lists the quarantined requests that one entry knows.
             cmd list {
-                /// Where other boxes reach the entry (`peer_addr`), for example 10.1.0.40:7340.
+                /// The entry's `peer_addr`, for example 10.1.0.40:7340.
                 required --peer addr: SocketAddr
-                /// Prints them as JSON.
+                /// Prints the list as JSON.
                 optional --json
             }
-            /// Releases one at all entries: it is served again, and what it did before is forgotten.
+            /// Releases a request at all entries: it is served again, and its earlier crashes are forgotten.
             cmd release {
-                /// Its fingerprint, as `list` and the log lines show it.
+                /// Fingerprint of the request, as `list` and the log lines show it.
                 required fingerprint: String
-                /// Where other boxes reach an entry (`peer_addr`).
+                /// The `peer_addr` of any entry.
                 required --peer addr: SocketAddr
             }
         }
-        /// Prints one request's story, in order over the logs of all processes.
+        /// Prints what happened to one request, in order of time, from the logs of all processes.
         cmd explain {
-            /// The request's identifier.
+            /// Identifier of the request.
             required request: String
-            /// Logs of entries and agents, one file a process.
+            /// Log files of entries and agents, one for each process.
             repeated logs: PathBuf
         }
         /// Prints reports.
         cmd report {
-            /// Service-level burn, joined across the entries that are named.
+            /// Prints the burn of the service-level error budgets, summed over the given entries.
             cmd burn {
-                /// Operators' address of an entry; may be given several times.
+                /// URL of an entry's `operators_addr`; may be given several times.
                 repeated --entry url: String
                 /// File with the operators' token.
                 required --token-file file: PathBuf
--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -1,4 +1,4 @@
-//! One caller's request: endpoint by endpoint, until it has its final answer.
+//! Forwards a caller's request to one endpoint after another, until it has a final answer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -19,29 +19,29 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::balancer::{Admit, Balancer, Count, Judge, LinkBroke, Pick};
-use crate::state::{Admitted, Target, Wanted};
+use crate::balancer::{Admit, Balancer, HandleFailure, LinkLost, Pick, RecordOutcome};
+use crate::state::{AdmittedRequest, PickRequest, Target};
 
-/// Frames and parts of one answer that may wait here for a slow caller.
-const PARTS_IN_HAND: usize = 4;
-/// How long an agent that was lost may take to say whether an attempt had started.
+/// Frames, and chunks of the body, of one answer that are buffered for a slow caller.
+const MAX_BUFFERED_PARTS: usize = 4;
+/// How long an agent whose connection was lost may take to answer whether an attempt had started.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Answers callers: the shell around dispatch and routing.
+/// Answers callers' requests by attempts at endpoints. The decisions are made by [`Dispatch`] and by the [`Balancer`].
 pub struct Forwarder {
-    /// Owns the state.
+    /// The actor that owns the state.
     pub balancer: ActorRef<Balancer>,
-    /// The life of this entry.
+    /// The incarnation of this entry.
     pub incarnation: Incarnation,
-    /// Time.
+    /// The clock of the process.
     pub clock: Clock,
-    /// Renders the metrics.
+    /// Renders the metrics in the Prometheus text format.
     pub metrics: PrometheusHandle,
-    /// Whether the balancer should send requests here.
+    /// Whether the readiness check succeeds, so that the load balancer in front sends requests to this entry.
     pub ready: AtomicBool,
-    /// Whether new requests are refused.
+    /// Whether new requests are refused because the entry is shutting down.
     pub refusing: AtomicBool,
-    /// Requests that are under way.
+    /// Requests in flight at this entry.
     pub in_flight: Arc<AtomicU32>,
 }
 
@@ -59,12 +59,12 @@
         let admitted = match self.balancer.ask(admit).await {
             Ok(admitted) => admitted,
             Err(error) => {
-                let refusal = ask_refusal(error, call.key.is_some());
+                let refusal = refusal_of_ask(error, call.key.is_some());
                 return CallerReply { request_id: format!("{}-0", self.incarnation), result: Err(refusal) };
             }
         };
-        let request_id = format!("{}-{}", self.incarnation, admitted.request);
-        let request = Request { forwarder: self, call, admitted, started };
+        let request_id = format!("{}-{}", self.incarnation, admitted.request_number);
+        let request = ForwardedRequest { forwarder: self, call, admitted, started };
         let result = request.answer(guard).await;
         CallerReply { request_id, result }
     }
@@ -78,24 +78,26 @@
     }
 }
 
-fn ask_refusal<M>(error: kameo::error::SendError<M, Refusal>, keyed: bool) -> Refusal {
+/// Returns the refusal behind an error of the balancer.
+fn refusal_of_ask<M>(error: kameo::error::SendError<M, Refusal>, has_key: bool) -> Refusal {
     let refusal = match error {
         kameo::error::SendError::HandlerError(refusal) => refusal,
         _ => Refusal::new(ErrorKind::Internal),
     };
-    // The entry alone cannot know whether a key's earlier call ran.
-    let unproved = keyed && matches!(refusal.kind, ErrorKind::Stale | ErrorKind::NotPermitted);
-    if unproved { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
+    // The entry alone cannot tell whether an earlier request with the same key has run.
+    let is_unproven = has_key && matches!(refusal.kind, ErrorKind::Stale | ErrorKind::NotPermitted);
+    if is_unproven { refusal.with_run(RunStatus::MayHaveRun) } else { refusal }
 }
 
-struct Request<'a> {
+/// A caller's request that is being forwarded.
+struct ForwardedRequest<'a> {
     forwarder: &'a Forwarder,
     call: CallerRequest,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     started: Instant,
 }
 
-impl Request<'_> {
+impl ForwardedRequest<'_> {
     async fn answer(self, guard: CountGuard) -> Result<CallerAnswer, Refusal> {
         let deadline_ms = self.forwarder.clock.now_ms() + self.call.deadline_ms;
         let mut dispatch = Dispatch::new(self.call.repeatable, self.call.key.is_some(), deadline_ms);
@@ -103,27 +105,27 @@
         loop {
             let target = match self.pick(&dispatch).await {
                 Ok(target) => target,
-                Err(refusal) if dispatch.tried().is_empty() => return Err(self.count_failure(refusal).await),
-                Err(_) => return Err(self.count_failure(dispatch.give_up(last)).await),
+                Err(refusal) if dispatch.tried().is_empty() => return Err(self.record_failure(refusal).await),
+                Err(_) => return Err(self.record_failure(dispatch.give_up(last)).await),
             };
-            let attempt = self.begin(&mut dispatch, &target);
-            let refusal = match self.first_part(attempt).await {
-                Ok(Started { answer, attempt }) => return Ok(self.pump(answer, attempt, guard)),
+            let attempt = self.start_attempt(&mut dispatch, &target);
+            let refusal = match self.start_answer(attempt).await {
+                Ok(StartedAnswer { answer, attempt }) => return Ok(self.spawn_forwarding(answer, attempt, guard)),
                 Err(refusal) => refusal,
             };
             metrics::counter!("ochreyard_entry_attempt_failed_total", "kind" => refusal.kind.as_str()).increment(1);
             last = Some(refusal.clone());
-            let judge = Judge { dispatch, endpoint: target.endpoint, refusal };
-            match self.forwarder.balancer.ask(judge).await {
+            let failure = HandleFailure { dispatch, endpoint: target.endpoint, refusal };
+            match self.forwarder.balancer.ask(failure).await {
                 Ok((returned, RetryDecision::RetryElsewhere)) => dispatch = returned,
-                Ok((_, RetryDecision::GiveUp(refusal))) => return Err(self.count_failure(refusal).await),
+                Ok((_, RetryDecision::GiveUp(refusal))) => return Err(self.record_failure(refusal).await),
                 Err(_) => return Err(Refusal::new(ErrorKind::Internal)),
             }
         }
     }
 
     async fn pick(&self, dispatch: &Dispatch) -> Result<Target, Refusal> {
-        let wanted = Wanted {
+        let request = PickRequest {
             workspace: self.admitted.workspace.clone(),
             service: self.call.service.clone(),
             key: self.call.key.clone(),
@@ -131,17 +133,17 @@
             prefix_hash: self.call.prefix_hash,
             cost: self.call.cost,
         };
-        let keyed = self.call.key.is_some();
-        self.forwarder.balancer.ask(Pick { wanted }).await.map_err(|error| ask_refusal(error, keyed))
+        let has_key = self.call.key.is_some();
+        self.forwarder.balancer.ask(Pick { request }).await.map_err(|error| refusal_of_ask(error, has_key))
     }
 
     fn remaining(&self) -> Duration {
         Duration::from_millis(self.call.deadline_ms).saturating_sub(self.started.elapsed())
     }
 
-    fn begin(&self, dispatch: &mut Dispatch, target: &Target) -> Attempt {
+    fn start_attempt(&self, dispatch: &mut Dispatch, target: &Target) -> Attempt {
         let number = dispatch.begin(&target.endpoint);
-        let attempt = AttemptId::new(self.forwarder.incarnation, self.admitted.request, number);
+        let attempt = AttemptId::new(self.forwarder.incarnation, self.admitted.request_number, number);
         let key = self.call.key.clone().map(|key| IdempotencyKey { key, fingerprint: self.call.fingerprint });
         let offer = Offer {
             attempt,
@@ -163,59 +165,59 @@
         Attempt::start(self.forwarder, target, CallRequest { offer, request }, Instant::now() + self.remaining())
     }
 
-    /// Waits until the answer's head and its first part, or its end, have come.
-    async fn first_part(&self, mut attempt: Attempt) -> Result<Started, Refusal> {
+    /// Waits until the head of the answer, and then its first chunk or its end, have arrived.
+    async fn start_answer(&self, mut attempt: Attempt) -> Result<StartedAnswer, Refusal> {
         let Some(FrameBody::Head { status, content_type }) = attempt.next().await? else {
             return Err(Refusal::new(ErrorKind::AnswerBroken));
         };
-        let first = attempt.next().await?;
-        let (sender, parts) = mpsc::channel(PARTS_IN_HAND);
-        attempt.first = first;
-        attempt.parts = Some(sender);
-        Ok(Started { answer: CallerAnswer { status, content_type, parts }, attempt })
+        let first_body = attempt.next().await?;
+        let (sender, chunks) = mpsc::channel(MAX_BUFFERED_PARTS);
+        attempt.first_body = first_body;
+        attempt.chunks = Some(sender);
+        Ok(StartedAnswer { answer: CallerAnswer { status, content_type, chunks }, attempt })
     }
 
-    /// Passes the rest on while the caller reads.
-    fn pump(self, answer: CallerAnswer, attempt: Attempt, guard: CountGuard) -> CallerAnswer {
+    /// Spawns the task that forwards the rest of the answer while the caller reads it.
+    fn spawn_forwarding(self, answer: CallerAnswer, attempt: Attempt, guard: CountGuard) -> CallerAnswer {
         let late = self.started.elapsed() > Duration::from_millis(self.admitted.first_byte_ms);
         metrics::histogram!("ochreyard_entry_first_part_seconds").record(self.started.elapsed().as_secs_f64());
         let balancer = self.forwarder.balancer.clone();
         let (service, workspace) = (self.call.service, self.admitted.workspace);
         tokio::spawn(async move {
-            let failure = attempt.pass_on().await.err();
+            let failure = attempt.forward_chunks().await.err();
             let outcome = failure.as_ref().map_or("whole", |refusal| refusal.kind.as_str());
             metrics::counter!("ochreyard_entry_answers_total", "outcome" => outcome).increment(1);
             let failure = failure.map(|refusal| refusal.kind);
-            let _ = balancer.tell(Count { service, workspace, failure, late }).await;
+            let _ = balancer.tell(RecordOutcome { service, workspace, failure, late }).await;
             drop(guard);
         });
         answer
     }
 
-    async fn count_failure(&self, refusal: Refusal) -> Refusal {
+    async fn record_failure(&self, refusal: Refusal) -> Refusal {
         metrics::counter!("ochreyard_entry_answers_total", "outcome" => refusal.kind.as_str()).increment(1);
         log::info!(
             "event=refused request={}-{} workspace={} service={} kind={} run={}",
             self.forwarder.incarnation,
-            self.admitted.request,
+            self.admitted.request_number,
             self.admitted.workspace,
             self.call.service,
             refusal.kind,
             refusal.run
         );
-        let count = Count {
+        let outcome = RecordOutcome {
             service: self.call.service.clone(),
             workspace: self.admitted.workspace.clone(),
             failure: Some(refusal.kind),
             late: false,
         };
-        let _ = self.forwarder.balancer.tell(count).await;
+        let _ = self.forwarder.balancer.tell(outcome).await;
         refusal
     }
 }
 
-/// An attempt whose answer has begun.
-struct Started {
+/// An attempt whose answer has started, and the answer for the caller.
+struct StartedAnswer {
     answer: CallerAnswer,
     attempt: Attempt,
 }
@@ -224,27 +226,27 @@
 struct Attempt {
     id: AttemptId,
     target: Target,
-    keyed: bool,
+    has_key: bool,
     balancer: ActorRef<Balancer>,
     reader: FrameReader,
     frames: mpsc::Receiver<ochreyard_core::frame::Frame>,
     call: JoinHandle<Result<CallEnd, LinkError>>,
     end: Option<Result<CallEnd, LinkError>>,
     deadline: Instant,
-    first: Option<FrameBody>,
-    parts: Option<mpsc::Sender<BodyChunk>>,
+    first_body: Option<FrameBody>,
+    chunks: Option<mpsc::Sender<BodyChunk>>,
     _in_flight: CountGuard,
 }
 
 impl Attempt {
     fn start(forwarder: &Forwarder, target: &Target, call: CallRequest, deadline: Instant) -> Self {
-        let (sender, frames) = mpsc::channel(PARTS_IN_HAND);
+        let (sender, frames) = mpsc::channel(MAX_BUFFERED_PARTS);
         let id = call.offer.attempt;
-        let keyed = call.offer.key.is_some();
+        let has_key = call.offer.key.is_some();
         let link = target.link.clone();
         Self {
             id,
-            keyed,
+            has_key,
             target: target.clone(),
             balancer: forwarder.balancer.clone(),
             reader: FrameReader::new(id),
@@ -252,17 +254,17 @@
             call: tokio::spawn(async move { link.call(call, sender).await }),
             end: None,
             deadline,
-            first: None,
-            parts: None,
+            first_body: None,
+            chunks: None,
             _in_flight: CountGuard::new(&target.in_flight),
         }
     }
 
-    /// The next part of the answer; `None` once it is whole and has checked out.
+    /// Returns the next frame of the answer, or `None` once the answer is complete and verified.
     async fn next(&mut self) -> Result<Option<FrameBody>, Refusal> {
         loop {
             let Some(frame) = self.next_frame().await? else {
-                return Err(self.explain_end().await);
+                return Err(self.end_refusal().await);
             };
             match self.reader.accept(frame) {
                 Ok(FrameAction::Forward(body)) => return Ok(Some(body)),
@@ -275,62 +277,63 @@
 
     async fn next_frame(&mut self) -> Result<Option<ochreyard_core::frame::Frame>, Refusal> {
         if self.end.is_some() {
-            // All frames were taken before the call ended, so what is left is in hand.
+            // All frames had been received when the call ended, so the remaining ones are in the channel.
             return Ok(self.frames.try_recv().ok());
         }
         tokio::select! {
             biased;
             frame = self.frames.recv() => match frame {
                 Some(frame) => return Ok(Some(frame)),
-                None => self.end = Some(joined((&mut self.call).await)),
+                None => self.end = Some(flatten_join((&mut self.call).await)),
             },
-            end = &mut self.call => self.end = Some(joined(end)),
+            end = &mut self.call => self.end = Some(flatten_join(end)),
             () = tokio::time::sleep_until(self.deadline) => return Err(Refusal::new(ErrorKind::DeadlineExceeded)),
         }
         Ok(self.frames.try_recv().ok())
     }
 
-    /// Why the frames ended before the answer was whole.
-    async fn explain_end(&self) -> Refusal {
+    /// Returns why the frames ended before the answer was complete.
+    async fn end_refusal(&self) -> Refusal {
         match &self.end {
             Some(Ok(CallEnd::Refused(refusal))) => refusal.clone(),
             Some(Ok(CallEnd::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
             Some(Err(error @ LinkError::NotSent { .. })) => {
-                let _ = self.balancer.tell(LinkBroke { endpoint: self.target.endpoint.clone() }).await;
-                let kind = if self.keyed { ErrorKind::KeyHomeUnreachable } else { ErrorKind::EndpointDown };
+                let _ = self.balancer.tell(LinkLost { endpoint: self.target.endpoint.clone() }).await;
+                let kind = if self.has_key { ErrorKind::KeyHomeUnreachable } else { ErrorKind::EndpointDown };
                 Refusal::new(kind).with_detail(error.to_string())
             }
-            Some(Err(LinkError::Lost { problem })) => self.ask_whether_started(problem).await,
+            Some(Err(LinkError::Lost { problem })) => self.revoke_lost_attempt(problem).await,
         }
     }
 
-    /// The connection was lost: only the agent can say that the attempt never started.
-    async fn ask_whether_started(&self, problem: &str) -> Refusal {
-        let _ = self.balancer.tell(LinkBroke { endpoint: self.target.endpoint.clone() }).await;
+    /// Asks the agent to revoke the attempt after its connection was lost. Only the agent can tell that the attempt
+    /// never started.
+    async fn revoke_lost_attempt(&self, problem: &str) -> Refusal {
+        let _ = self.balancer.tell(LinkLost { endpoint: self.target.endpoint.clone() }).await;
         let revoke = self.target.link.revoke(self.id, self.target.incarnation);
         let answer = tokio::time::timeout(REVOKE_TIMEOUT, revoke).await;
         let not_started = matches!(answer, Ok(Ok(RevokeAnswer::NotStarted)));
-        if not_started && !self.keyed {
+        if not_started && !self.has_key {
             return Refusal::new(ErrorKind::Revoked);
         }
         Refusal::new(ErrorKind::ConnectionLost).with_detail(problem)
     }
 
-    /// Passes the answer on, part by part.
-    async fn pass_on(mut self) -> Result<(), Refusal> {
-        let Some(parts) = self.parts.take() else { return Ok(()) };
-        let mut next: Result<Option<FrameBody>, Refusal> = Ok(self.first.take());
+    /// Forwards the answer chunk by chunk.
+    async fn forward_chunks(mut self) -> Result<(), Refusal> {
+        let Some(chunks) = self.chunks.take() else { return Ok(()) };
+        let mut next: Result<Option<FrameBody>, Refusal> = Ok(self.first_body.take());
         loop {
             match next {
                 Ok(Some(FrameBody::Data(bytes))) => {
-                    if parts.send(Ok(Bytes::from(bytes))).await.is_err() {
+                    if chunks.send(Ok(Bytes::from(bytes))).await.is_err() {
                         return Err(Refusal::new(ErrorKind::CallerGone));
                     }
                 }
                 Ok(Some(_)) => {}
                 Ok(None) => return Ok(()),
                 Err(refusal) => {
-                    let _ = parts.send(Err(refusal.clone())).await;
+                    let _ = chunks.send(Err(refusal.clone())).await;
                     return Err(refusal);
                 }
             }
@@ -339,11 +342,11 @@
     }
 }
 
-fn joined(result: Result<Result<CallEnd, LinkError>, tokio::task::JoinError>) -> Result<CallEnd, LinkError> {
+fn flatten_join(result: Result<Result<CallEnd, LinkError>, tokio::task::JoinError>) -> Result<CallEnd, LinkError> {
     result.unwrap_or_else(|error| Err(LinkError::Lost { problem: error.to_string() }))
 }
 
-/// Counts a request, at this entry or at one endpoint, for as long as it lives.
+/// Counts a request in flight, at this entry or at one endpoint, until the guard is dropped.
 struct CountGuard(Arc<AtomicU32>);
 
 impl CountGuard {
--- a/crates/ochreyard-entry/src/main.rs
+++ b/crates/ochreyard-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `ochreyard`: the entry process, and the operators' command line.
+//! `ochreyard`, the entry process and the command line for operators.
 
 mod balancer;
 mod control;
@@ -21,7 +21,7 @@
 
 fn main() -> ExitCode {
     if let Err(error) = outlive_hangup() {
-        eprintln!("ochreyard: SIGHUP cannot be taken: {error}");
+        eprintln!("ochreyard: cannot install the handler for SIGHUP: {error}");
         return ExitCode::FAILURE;
     }
     exit_for_version("ochreyard", env!("CARGO_PKG_VERSION"));
@@ -37,7 +37,7 @@
 
 fn run(flags: Ochreyard) -> miette::Result<()> {
     match flags.subcommand {
-        OchreyardCmd::Serve(args) => serve::run(read(&args.settings)?),
+        OchreyardCmd::Serve(args) => serve::run(read_settings(&args.settings)?),
         OchreyardCmd::Direct(args) => direct::run(&Settings::read(&args.settings, &direct::fields())?),
         OchreyardCmd::Check(args) => {
             let fields = if args.direct { direct::fields() } else { FIELDS.to_vec() };
@@ -64,6 +64,6 @@
     }
 }
 
-fn read(path: &std::path::Path) -> miette::Result<Settings> {
+fn read_settings(path: &std::path::Path) -> miette::Result<Settings> {
     Ok(Settings::read(path, FIELDS)?)
 }
--- a/crates/ochreyard-entry/src/operate.rs
+++ b/crates/ochreyard-entry/src/operate.rs
@@ -1,4 +1,4 @@
-//! The operators' commands.
+//! The commands for operators, apart from `quarantine`.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,11 +8,11 @@
 
 use crate::flags;
 
-/// `ochreyard plan`.
+/// Runs `ochreyard plan`.
 pub fn plan(args: &flags::Plan) -> Result<()> {
     let yaml = std::fs::read_to_string(&args.intent)
         .into_diagnostic()
-        .wrap_err_with(|| format!("the intent {} cannot be read", args.intent.display()))?;
+        .wrap_err_with(|| format!("cannot read the intent {}", args.intent.display()))?;
     let plan = block_on(client(&args.entry, &args.token_file)?.plan(yaml))?.into_diagnostic()?;
     if args.json {
         print_json(&plan)
@@ -22,14 +22,14 @@
     }
 }
 
-/// `ochreyard confirm`.
+/// Runs `ochreyard confirm`.
 pub fn confirm(args: &flags::Confirm) -> Result<()> {
     let version = block_on(client(&args.entry, &args.token_file)?.confirm(&args.plan_id))?.into_diagnostic()?;
     println!("confirmed: version {version}");
     Ok(())
 }
 
-/// `ochreyard status`.
+/// Runs `ochreyard status`.
 pub fn status(args: &flags::Status) -> Result<()> {
     let status = block_on(client(&args.entry, &args.token_file)?.status())?.into_diagnostic()?;
     if args.json {
@@ -40,37 +40,38 @@
     }
 }
 
-/// `ochreyard explain`.
+/// Runs `ochreyard explain`.
 pub fn explain(args: &flags::Explain) -> Result<()> {
     if args.logs.is_empty() {
-        miette::bail!("no log is named; give the log files of all entries and agents after the identifier");
+        miette::bail!("no log file is given; list the log files of all entries and agents after the identifier");
     }
-    let story = RequestTimeline::read(&args.request, &args.logs).into_diagnostic().wrap_err("a log cannot be read")?;
-    for unreadable in story.unreadable() {
-        let (log, lines, first) = (unreadable.log.display(), unreadable.lines, unreadable.first);
-        eprintln!("{log}: {lines} lines cannot be read and are passed over, the first is line {first}");
+    let timeline =
+        RequestTimeline::read(&args.request, &args.logs).into_diagnostic().wrap_err("cannot read a log file")?;
+    for unreadable in timeline.unreadable() {
+        let (log, count, first_line) = (unreadable.log.display(), unreadable.count, unreadable.first_line);
+        eprintln!("{log}: skipped {count} unreadable lines, starting with line {first_line}");
     }
-    if story.is_empty() {
-        miette::bail!("no line of {} logs names request {}", args.logs.len(), args.request);
+    if timeline.is_empty() {
+        miette::bail!("none of the {} log files has a line about request {}", args.logs.len(), args.request);
     }
-    print!("{story}");
+    print!("{timeline}");
     Ok(())
 }
 
-/// `ochreyard report burn`.
+/// Runs `ochreyard report burn`.
 pub fn burn(args: &flags::Burn) -> Result<()> {
     if args.entry.is_empty() {
-        miette::bail!("no entry is named; give --entry URL once for each entry");
+        miette::bail!("no entry is given; pass --entry URL once for each entry");
     }
-    let mut joined: BTreeMap<(String, String), BurnRow> = BTreeMap::new();
+    let mut merged: BTreeMap<(String, String), BurnRow> = BTreeMap::new();
     let mut unreached = Vec::new();
     for entry in &args.entry {
         match block_on(client(entry, &args.token_file)?.burn())? {
-            Ok(rows) => rows.into_iter().for_each(|row| join(&mut joined, row)),
+            Ok(rows) => rows.into_iter().for_each(|row| merge_row(&mut merged, row)),
             Err(error) => unreached.push(format!("{entry} ({error})")),
         }
     }
-    let rows: Vec<BurnRow> = joined.into_values().collect();
+    let rows: Vec<BurnRow> = merged.into_values().collect();
     if args.json {
         print_json(&serde_json::json!({ "rows": rows, "unreached": unreached }))
     } else {
@@ -79,11 +80,11 @@
     }
 }
 
-/// Adds one entry's row: counts are summed, rates weighted by requests.
-fn join(joined: &mut BTreeMap<(String, String), BurnRow>, row: BurnRow) {
+/// Merges one entry's row into the sums: adds the counts, and averages the burn rates weighted by requests.
+fn merge_row(merged: &mut BTreeMap<(String, String), BurnRow>, row: BurnRow) {
     let key = (row.service.clone(), row.workspace.clone());
-    let Some(sum) = joined.get_mut(&key) else {
-        joined.insert(key, row);
+    let Some(sum) = merged.get_mut(&key) else {
+        merged.insert(key, row);
         return;
     };
     let requests = (sum.requests + row.requests).max(1) as f64;
@@ -104,13 +105,13 @@
 fn client(entry: &str, token_file: &Path) -> Result<OperatorClient> {
     let token = std::fs::read_to_string(token_file)
         .into_diagnostic()
-        .wrap_err_with(|| format!("the token file {} cannot be read", token_file.display()))?;
+        .wrap_err_with(|| format!("cannot read the token file {}", token_file.display()))?;
     Ok(OperatorClient::new(entry, token.trim()))
 }
 
-fn block_on<T>(work: impl Future<Output = T>) -> Result<T> {
+fn block_on<T>(future: impl Future<Output = T>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
-    Ok(runtime.block_on(work))
+    Ok(runtime.block_on(future))
 }
 
 fn print_json(value: &impl serde::Serialize) -> Result<()> {
--- a/crates/ochreyard-entry/src/serve.rs
+++ b/crates/ochreyard-entry/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the entry until its planned stop.
+//! Runs an entry that routes through agents, until it is shut down.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,16 +25,16 @@
 use crate::state::{EntryIdentity, EntryState};
 use crate::upkeep::{self, Peers};
 
-/// The stream of the platform's log that holds the configuration.
+/// Name of the stream in the platform's log that holds the configuration.
 const CONFIG_STREAM: &str = "config";
-/// How often a stopping entry looks whether all requests have ended.
+/// Interval at which a draining entry checks whether all requests have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Runs the entry.
+/// Runs the entry until it receives a stop signal and has drained.
 ///
 /// # Errors
 ///
-/// When an address cannot be bound or a secret cannot be read.
+/// Returns an error if an address cannot be bound or a secret cannot be read.
 pub fn run(settings: Settings) -> Result<()> {
     start_logging(&settings).into_diagnostic()?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().into_diagnostic()?;
@@ -58,7 +58,7 @@
             "least_reported" => Policy::LeastReported,
             _ => Policy::Predicted,
         },
-        silence: HeartbeatTimeouts {
+        heartbeat_timeouts: HeartbeatTimeouts {
             suspect_after_ms: settings.number("suspect_after_ms"),
             down_after_ms: settings.number("down_after_ms"),
         },
@@ -71,13 +71,13 @@
     let peers = serve_peers(&settings, &thread, &balancer)?;
     let poll_ms = settings.number("log_poll_ms");
     tokio::spawn(upkeep::follow_log(log.clone(), balancer.clone(), clock, poll_ms, peers));
-    tokio::spawn(upkeep::keep_heartbeats(log.clone(), balancer.clone(), settings.number("heartbeat_ms")));
+    tokio::spawn(upkeep::send_heartbeats(log.clone(), balancer.clone(), settings.number("heartbeat_ms")));
     tokio::spawn(upkeep::follow_box_list(log.clone(), balancer.clone()));
 
     let control =
-        Arc::new(EntryControl { balancer: balancer.clone(), log, clock, incarnation, plans: AtomicU64::new(1) });
-    let operator_side = ochreyard_operator::api::router(control, settings.text("operator_token_sha256").to_owned());
-    tokio::spawn(async move { axum::serve(without_delay(operators), operator_side).await });
+        Arc::new(EntryControl { balancer: balancer.clone(), log, clock, incarnation, plan_count: AtomicU64::new(1) });
+    let operator_router = ochreyard_operator::api::router(control, settings.text("operator_token_sha256").to_owned());
+    tokio::spawn(async move { axum::serve(with_nodelay(operators), operator_router).await });
 
     let forwarder = Arc::new(Forwarder {
         balancer,
@@ -88,11 +88,11 @@
         refusing: AtomicBool::new(false),
         in_flight: Arc::default(),
     });
-    let caller_side = ochreyard_caller::router(Arc::clone(&forwarder), caller_limits(&settings));
+    let caller_router = ochreyard_caller::router(Arc::clone(&forwarder), caller_limits(&settings));
     let stopped = Arc::new(tokio::sync::Notify::new());
     let stop = Arc::clone(&stopped);
     let server =
-        axum::serve(without_delay(callers), caller_side).with_graceful_shutdown(async move { stop.notified().await });
+        axum::serve(with_nodelay(callers), caller_router).with_graceful_shutdown(async move { stop.notified().await });
     let server = tokio::spawn(server.into_future());
 
     log::info!("event=entry_started entry={} incarnation={incarnation}", settings.text("entry"));
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-/// Tells other entries the configuration, and knows where to ask them.
+/// Serves the configuration to other entries, and returns how to ask them for theirs.
 fn serve_peers(settings: &Settings, thread: &LocalThread, balancer: &ActorRef<Balancer>) -> Result<Peers> {
     let addr = settings.addr("peer_addr");
     let token = settings.secret("peer_token_file").into_diagnostic()?;
@@ -116,6 +116,7 @@
     Ok(Peers { addrs: settings.addrs("peers"), token, thread: thread.clone() })
 }
 
+/// Serves the configuration of the balancer to other entries.
 struct BalancerState(ActorRef<Balancer>);
 
 impl StateSource for BalancerState {
@@ -130,9 +131,9 @@
     TcpListener::bind(addr).await.into_diagnostic().wrap_err_with(problem)
 }
 
-/// Small writes go out at once: else head and body of an answer wait for each
-/// other's acknowledgement, 40 ms each time.
-fn without_delay(listener: TcpListener) -> impl Listener<Addr = SocketAddr> {
+/// Sets `TCP_NODELAY` on accepted connections. Without it, the body of an answer waits for the delayed acknowledgement
+/// of its head, 40 ms each time.
+fn with_nodelay(listener: TcpListener) -> impl Listener<Addr = SocketAddr> {
     listener.tap_io(|stream| {
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!("event=nodelay_refused error=\"{error}\"");
@@ -150,8 +151,8 @@
     }
 }
 
-/// The planned stop: readiness fails, work is taken for a while, then refused,
-/// and all requests under way come to their end.
+/// Shuts down gracefully: the readiness check fails at once, new requests are accepted for `grace_ms` and then refused,
+/// and the function returns when all requests in flight have ended.
 async fn drain(forwarder: &Forwarder, clock: &Clock, grace_ms: u64) {
     log::info!("event=entry_leaving grace_ms={grace_ms}");
     forwarder.ready.store(false, Ordering::Relaxed);
@@ -159,7 +160,7 @@
     let refusing = loop {
         match unready.refuse(clock.now_ms()) {
             Ok(refusing) => break refusing,
-            Err(still) => unready = still,
+            Err(still_unready) => unready = still_unready,
         }
         tokio::time::sleep(DRAIN_POLL).await;
     };
--- a/crates/ochreyard-entry/src/state.rs
+++ b/crates/ochreyard-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows: configuration, agents, load, burn. All of it is soft.
+//! The state of an entry: configuration, agents, load and burn rates. None of it has to survive a restart.
 
 mod pick;
 mod report;
@@ -18,23 +18,24 @@
 use ochreyard_core::retry::RetryBudget;
 use ochreyard_peer::{AgentLink, Heartbeat, LocalThread};
 
-pub use types::{Admitted, DueBeat, EntryIdentity, Lacking, Target, Wanted};
+pub use types::{AdmittedRequest, ConfigUpdate, DueHeartbeat, EntryIdentity, PickRequest, Target};
 
-struct Peer {
+/// The agent of an endpoint in the configuration.
+struct AgentState {
     link: AgentLink,
     addr: SocketAddr,
     in_flight: Arc<AtomicU32>,
-    /// `in_flight` when the last report came.
-    at_report: u32,
+    /// `in_flight` when the last report arrived.
+    in_flight_at_report: u32,
 }
 
-/// An agent that the configuration no longer names, and that must still hear of it.
+/// An agent that the configuration no longer names, but that may still run keys and so must receive the configuration.
 struct FormerHome {
     link: AgentLink,
     config_version: u64,
 }
 
-/// The last read of the log that came to its end.
+/// The last read of the log that reached its end.
 #[derive(Debug, Clone, Copy)]
 struct TailRead {
     started_ms: u64,
@@ -48,87 +49,87 @@
     fold: ConfigFold,
     tail: Option<TailRead>,
     membership: Membership,
-    peers: BTreeMap<EndpointId, Peer>,
+    agents: BTreeMap<EndpointId, AgentState>,
     former_homes: BTreeMap<(EndpointId, SocketAddr), FormerHome>,
     tokens: HashMap<String, WorkspaceId>,
     prefixes: HashMap<u64, EndpointId>,
     prefix_order: VecDeque<u64>,
     budget: RetryBudget,
-    requests: u64,
+    request_count: u64,
     burn: BTreeMap<(ServiceId, WorkspaceId), BurnMeter>,
     rounds_with_pending_acks: u64,
-    snapshot_seen_ms: u64,
+    last_snapshot_ms: u64,
 }
 
 impl EntryState {
-    /// An entry that knows nothing yet.
+    /// Creates the state of an entry that has not read the log yet.
     #[must_use]
     pub fn new(identity: EntryIdentity, thread: LocalThread, now_ms: u64) -> Self {
-        let membership = Membership::new(identity.silence);
+        let membership = Membership::new(identity.heartbeat_timeouts);
         Self {
             identity,
             thread,
             fold: ConfigFold::new(),
             tail: None,
             membership,
-            peers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             former_homes: BTreeMap::new(),
             tokens: HashMap::new(),
             prefixes: HashMap::new(),
             prefix_order: VecDeque::new(),
             budget: RetryBudget::default(),
-            requests: 0,
+            request_count: 0,
             burn: BTreeMap::new(),
             rounds_with_pending_acks: 0,
-            snapshot_seen_ms: now_ms,
+            last_snapshot_ms: now_ms,
         }
     }
 
-    /// The fold of the configuration.
+    /// Returns the fold of the configuration log.
     #[must_use]
     pub const fn fold(&self) -> &ConfigFold {
         &self.fold
     }
 
-    /// The retry budget.
+    /// Returns the retry budget.
     pub const fn budget(&mut self) -> &mut RetryBudget {
         &mut self.budget
     }
 
-    /// Folds a page of the log that was asked for at `started_ms`.
-    pub fn read_page(&mut self, page: &LogPage, started_ms: u64, now_ms: u64) -> Vec<FoldEvent> {
+    /// Applies a page of the log that was requested at `started_ms`.
+    pub fn apply_page(&mut self, page: &LogPage, started_ms: u64, now_ms: u64) -> Vec<FoldEvent> {
         let events = self.fold.fold_page(page);
         let has_snapshot = page.records.iter().any(|r| r.text.starts_with("{\"kind\":\"snapshot\""));
         if has_snapshot {
-            self.snapshot_seen_ms = now_ms;
+            self.last_snapshot_ms = now_ms;
         }
         let at_end = self.fold.cursor() == page.next_offset;
         if at_end && self.fold.status() == FoldStatus::Following {
             self.tail = Some(TailRead { started_ms, version: self.fold.version() });
         }
         if events.iter().any(|event| matches!(event, FoldEvent::VersionInForce(_))) {
-            self.follow_configuration();
+            self.apply_configuration();
         }
         events
     }
 
-    /// Takes over a peer's configuration, if it is newer.
+    /// Adopts the configuration of another entry if it is newer. Returns whether it was adopted.
     pub fn adopt(&mut self, config: Arc<Configuration>) -> bool {
         let adopted = self.fold.adopt(config);
         if adopted {
-            self.follow_configuration();
+            self.apply_configuration();
         }
         adopted
     }
 
-    /// Whether peers should be asked for their configuration: the log has not
-    /// been read, or has lost records that this entry needs.
+    /// Returns whether other entries should be asked for their configuration, because the log has not been read or has
+    /// lost records that this entry needs.
     #[must_use]
-    pub const fn needs_peers(&self) -> bool {
+    pub const fn needs_peer_config(&self) -> bool {
         !matches!(self.fold.status(), FoldStatus::Following)
     }
 
-    /// The newest state known, as a record for a log that lost everything.
+    /// Returns the newest known state as a record for a log that has lost it.
     #[must_use]
     pub fn seed(&self) -> Option<ConfigRecord> {
         let FoldStatus::Gap { first_offset } = self.fold.status() else { return None };
@@ -136,30 +137,30 @@
         Some(ConfigRecord::Seed { first_offset, state: Box::new(Configuration::clone(state)) })
     }
 
-    fn follow_configuration(&mut self) {
+    fn apply_configuration(&mut self) {
         let Some(config) = self.fold.state().cloned() else { return };
         self.tokens = config.workspaces().map(|ws| (ws.token_sha256.clone(), ws.workspace.clone())).collect();
         let is_same = |id: &EndpointId, addr| config.endpoint(id).is_some_and(|spec| spec.agent_addr == addr);
-        self.peers.retain(|id, peer| is_same(id, peer.addr));
+        self.agents.retain(|id, agent| is_same(id, agent.addr));
         self.membership.retain(|id| config.endpoint(id).is_some());
-        self.follow_former_homes(&config);
+        self.update_former_homes(&config);
         for spec in config.endpoints() {
             let (thread, token) = (&self.thread, &self.identity.peer_token);
-            self.peers.entry(spec.endpoint.clone()).or_insert_with(|| Peer {
+            self.agents.entry(spec.endpoint.clone()).or_insert_with(|| AgentState {
                 link: AgentLink::new(thread, spec.agent_addr, token.clone()),
                 addr: spec.agent_addr,
                 in_flight: Arc::default(),
-                at_report: 0,
+                in_flight_at_report: 0,
             });
         }
     }
 
-    /// Keeps telling the configuration to agents that it no longer names, until
-    /// no key can be left with them.
-    fn follow_former_homes(&mut self, config: &Configuration) {
-        let wanted = config.former_homes();
-        self.former_homes.retain(|key, _| wanted.contains(key));
-        for (endpoint, addr) in wanted {
+    /// Updates which agents still receive the configuration though it no longer names them: those at which keys may be
+    /// left.
+    fn update_former_homes(&mut self, config: &Configuration) {
+        let former_homes = config.former_homes();
+        self.former_homes.retain(|key, _| former_homes.contains(key));
+        for (endpoint, addr) in former_homes {
             let (thread, token) = (&self.thread, &self.identity.peer_token);
             self.former_homes
                 .entry((endpoint, addr))
@@ -167,34 +168,35 @@
         }
     }
 
-    /// Takes the report of an agent that the configuration no longer names.
-    pub fn take_former_report(&mut self, home: (EndpointId, SocketAddr), version: u64) -> Option<Lacking> {
+    /// Applies the report of an agent that the configuration no longer names. Returns the configuration update that it
+    /// needs, if any.
+    pub fn apply_former_report(&mut self, home: (EndpointId, SocketAddr), version: u64) -> Option<ConfigUpdate> {
         self.former_homes.get_mut(&home)?.config_version = version;
-        self.lacking(version)
+        self.update_since(version)
     }
 
-    fn lacking(&self, version: u64) -> Option<Lacking> {
+    fn update_since(&self, version: u64) -> Option<ConfigUpdate> {
         let config = self.fold.state().filter(|config| version < config.version()).cloned()?;
-        Some(Lacking { config, delta: self.fold.delta_since(version) })
+        Some(ConfigUpdate { config, delta: self.fold.delta_since(version) })
     }
 
-    /// Takes an agent's report. What the agent lacks of the configuration is returned.
-    pub fn take_report(&mut self, endpoint: &EndpointId, report: AgentReport, now_ms: u64) -> Option<Lacking> {
+    /// Applies the report of an agent. Returns the configuration update that it needs, if any.
+    pub fn apply_report(&mut self, endpoint: &EndpointId, report: AgentReport, now_ms: u64) -> Option<ConfigUpdate> {
         let version = report.config_version;
-        let is_news = self.membership.on_report(endpoint, report, now_ms);
-        if let Some(peer) = self.peers.get_mut(endpoint).filter(|_| is_news) {
-            peer.at_report = peer.in_flight.load(Ordering::Relaxed);
+        let is_newer = self.membership.on_report(endpoint, report, now_ms);
+        if let Some(agent) = self.agents.get_mut(endpoint).filter(|_| is_newer) {
+            agent.in_flight_at_report = agent.in_flight.load(Ordering::Relaxed);
         }
-        self.lacking(version)
+        self.update_since(version)
     }
 
-    /// Notes that the link to an agent broke.
-    pub fn link_broke(&mut self, endpoint: &EndpointId) {
+    /// Records that the link to an agent was lost.
+    pub fn on_link_lost(&mut self, endpoint: &EndpointId) {
         self.membership.on_connection_lost(endpoint);
     }
 
-    /// Notes what a refusal tells about its endpoint.
-    pub fn learn_from(&mut self, endpoint: &EndpointId, refusal: &Refusal) {
+    /// Updates the membership by what a refusal implies about its endpoint.
+    pub fn on_refusal(&mut self, endpoint: &EndpointId, refusal: &Refusal) {
         match refusal.kind {
             ErrorKind::Leaving => self.membership.on_leaving(endpoint),
             ErrorKind::ConnectionLost => self.membership.on_connection_lost(endpoint),
@@ -202,59 +204,69 @@
         }
     }
 
-    /// Takes the platform's lagging list.
-    pub fn take_box_list(&mut self, leaving: &[EndpointId]) {
+    /// Records which endpoints the platform's list, which may lag, marks as leaving.
+    pub fn apply_box_list(&mut self, leaving: &[EndpointId]) {
         self.membership.on_listed_leaving(leaving);
     }
 
-    /// The heartbeats that are due now; silent agents have their links dropped.
-    pub fn due_beats(&mut self, now_ms: u64) -> Vec<DueBeat> {
-        let limits = self.identity.silence;
+    /// Returns the heartbeats to send in this round, and resets the links to agents that have been silent for too long.
+    pub fn due_heartbeats(&mut self, now_ms: u64) -> Vec<DueHeartbeat> {
+        let timeouts = self.identity.heartbeat_timeouts;
         for (endpoint, member) in self.membership.members() {
-            let silent = now_ms.saturating_sub(member.last_report_ms) >= limits.down_after_ms;
-            if let Some(peer) = self.peers.get(endpoint).filter(|_| silent) {
-                peer.link.reset();
+            let is_silent = now_ms.saturating_sub(member.last_report_ms) >= timeouts.down_after_ms;
+            if let Some(agent) = self.agents.get(endpoint).filter(|_| is_silent) {
+                agent.link.reset();
             }
         }
-        let beat = |(endpoint, peer): (&EndpointId, &Peer)| DueBeat {
+        let current = |(endpoint, agent): (&EndpointId, &AgentState)| DueHeartbeat {
             endpoint: endpoint.clone(),
             former_addr: None,
-            link: peer.link.clone(),
-            beat: self.beat_for(endpoint),
+            link: agent.link.clone(),
+            heartbeat: self.heartbeat_for(endpoint),
         };
         let entry = self.identity.entry.to_string();
-        let former = |((endpoint, addr), home): (&(EndpointId, SocketAddr), &FormerHome)| DueBeat {
+        let former = |((endpoint, addr), home): (&(EndpointId, SocketAddr), &FormerHome)| DueHeartbeat {
             endpoint: endpoint.clone(),
             former_addr: Some(*addr),
             link: home.link.clone(),
-            beat: Heartbeat { entry: entry.clone(), verified_for: Incarnation(0), tail_version: 0 },
+            heartbeat: Heartbeat { entry: entry.clone(), verified_for: Incarnation(0), tail_version: 0 },
         };
-        self.peers.iter().map(beat).chain(self.former_homes.iter().map(former)).collect()
+        self.agents.iter().map(current).chain(self.former_homes.iter().map(former)).collect()
     }
 
-    /// Vouches for the log's end only if it was read after this life of the agent was met.
-    fn beat_for(&self, endpoint: &EndpointId) -> Heartbeat {
+    /// Returns the heartbeat for an agent. It confirms that the log was read to its end only if that read began after
+    /// the first report of the agent's current incarnation.
+    fn heartbeat_for(&self, endpoint: &EndpointId) -> Heartbeat {
         let entry = self.identity.entry.to_string();
         let member = self.membership.member(endpoint);
-        let fresh = member.zip(self.tail).filter(|(member, tail)| tail.started_ms > member.first_seen_ms);
+        let verified = member.zip(self.tail).filter(|(member, tail)| tail.started_ms > member.first_seen_ms);
         let (verified_for, tail_version) =
-            fresh.map_or((Incarnation(0), 0), |(member, tail)| (member.report.incarnation, tail.version));
+            verified.map_or((Incarnation(0), 0), |(member, tail)| (member.report.incarnation, tail.version));
         Heartbeat { entry, verified_for, tail_version }
     }
 
-    /// Says whose request this is, and whether the service may be used.
-    pub fn admit(&mut self, token_sha256: &str, service: &ServiceId, is_model: bool) -> Result<Admitted, Refusal> {
+    /// Returns the workspace that a request belongs to, if that workspace may use the service.
+    pub fn admit(
+        &mut self,
+        token_sha256: &str,
+        service: &ServiceId,
+        is_model: bool,
+    ) -> Result<AdmittedRequest, Refusal> {
         let config = self.fold.state().ok_or_else(|| Refusal::new(ErrorKind::Stale))?;
         let workspace = self.tokens.get(token_sha256).ok_or_else(|| Refusal::new(ErrorKind::Unauthenticated))?;
-        let wanted = if is_model { ServiceKind::Model } else { ServiceKind::Plain };
-        let spec = config.service(service).filter(|spec| spec.kind == wanted);
+        let kind = if is_model { ServiceKind::Model } else { ServiceKind::Plain };
+        let spec = config.service(service).filter(|spec| spec.kind == kind);
         let spec = spec.ok_or_else(|| Refusal::new(ErrorKind::UnknownService))?;
         let permitted = config.workspace(workspace).is_some_and(|ws| ws.services.contains(service));
         if !permitted {
             return Err(Refusal::new(ErrorKind::NotPermitted));
         }
-        self.requests += 1;
+        self.request_count += 1;
         self.budget.on_request();
-        Ok(Admitted { workspace: workspace.clone(), request: self.requests, first_byte_ms: spec.first_byte_ms })
+        Ok(AdmittedRequest {
+            workspace: workspace.clone(),
+            request_number: self.request_count,
+            first_byte_ms: spec.first_byte_ms,
+        })
     }
 }
--- a/crates/ochreyard-entry/src/state/report.rs
+++ b/crates/ochreyard-entry/src/state/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! The status and the burn report for operators.
 
 use ochreyard_core::burn::{BurnMeter, burn_rate};
 use ochreyard_core::config::{EndpointSpec, FoldStatus};
@@ -10,8 +10,8 @@
 use super::EntryState;
 
 impl EntryState {
-    /// Counts a request that has come to its end.
-    pub fn count(
+    /// Records the outcome of a request in the burn meter of its service and workspace.
+    pub fn record_outcome(
         &mut self,
         service: ServiceId,
         workspace: WorkspaceId,
@@ -22,7 +22,7 @@
         self.burn.entry((service, workspace)).or_default().record(failure, late, now_ms);
     }
 
-    /// The system as this entry sees it.
+    /// Returns the state of the system as this entry sees it.
     #[must_use]
     pub fn status(&self, now_ms: u64) -> Status {
         let log = match self.fold.status() {
@@ -31,7 +31,8 @@
             FoldStatus::Gap { .. } => "gap",
         };
         let config = self.fold.state();
-        let endpoints = config.map(|c| c.endpoints().map(|spec| self.row(spec, now_ms)).collect()).unwrap_or_default();
+        let endpoints =
+            config.map(|c| c.endpoints().map(|spec| self.endpoint_row(spec, now_ms)).collect()).unwrap_or_default();
         Status {
             entry: self.identity.entry.to_string(),
             config_version: self.fold.version(),
@@ -41,7 +42,7 @@
         }
     }
 
-    fn row(&self, spec: &EndpointSpec, now_ms: u64) -> EndpointRow {
+    fn endpoint_row(&self, spec: &EndpointSpec, now_ms: u64) -> EndpointRow {
         let member = self.membership.member(&spec.endpoint);
         let report = member.map(|m| m.report.clone()).unwrap_or_default();
         let health = match self.membership.health(&spec.endpoint, now_ms) {
@@ -61,11 +62,11 @@
         }
     }
 
-    /// This entry's part of the report on burn.
+    /// Returns the burn rates that this entry has measured, by service and workspace.
     pub fn burn_rows(&mut self, now_ms: u64) -> Vec<BurnRow> {
         let config = self.fold.state().cloned().unwrap_or_default();
         let objective = |service: &ServiceId| config.service(service).map_or(0, |spec| spec.objective_permille);
-        let row = |((service, workspace), meter): (&(ServiceId, WorkspaceId), &mut BurnMeter)| {
+        let burn_row = |((service, workspace), meter): (&(ServiceId, WorkspaceId), &mut BurnMeter)| {
             let objective_permille = objective(service);
             let (short, long) = (meter.short_window(now_ms), meter.long_window(now_ms));
             BurnRow {
@@ -79,6 +80,6 @@
                 spent_by: meter.spent_by(),
             }
         };
-        self.burn.iter_mut().map(row).collect()
+        self.burn.iter_mut().map(burn_row).collect()
     }
 }
--- a/crates/ochreyard-entry/src/state/types.rs
+++ b/crates/ochreyard-entry/src/state/types.rs
@@ -1,4 +1,4 @@
-//! What goes into the entry's state and comes out of it.
+//! The types that the entry's state takes and returns.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,48 +10,48 @@
 use ochreyard_core::routing::Policy;
 use ochreyard_peer::{AgentLink, Heartbeat};
 
-/// Who this entry is.
+/// The identity and the settings of this entry.
 #[derive(Debug, Clone)]
 pub struct EntryIdentity {
-    /// Its box.
+    /// Name of its box.
     pub entry: BoxId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Token to show to agents.
+    /// Token that authenticates the entry to agents.
     pub peer_token: String,
-    /// How often a snapshot is written, in milliseconds.
+    /// Interval between snapshots in the log, in milliseconds.
     pub snapshot_every_ms: u64,
-    /// How an endpoint is picked.
+    /// The policy by which endpoints are picked.
     pub routing: Policy,
-    /// How long silence lasts until an agent is suspected or taken for down.
-    pub silence: HeartbeatTimeouts,
+    /// How long an agent may be silent until it is suspect, and until it is down.
+    pub heartbeat_timeouts: HeartbeatTimeouts,
 }
 
-/// A caller's request that may be routed.
+/// A caller's request that is authorized and may be routed.
 #[derive(Debug, Clone)]
-pub struct Admitted {
-    /// Whose it is.
+pub struct AdmittedRequest {
+    /// The workspace that the request belongs to.
     pub workspace: WorkspaceId,
-    /// Its running number.
-    pub request: u64,
-    /// Objective for the first byte, in milliseconds.
+    /// Sequence number of the request in this incarnation of the entry.
+    pub request_number: u64,
+    /// Latency target for the first byte of the answer, in milliseconds.
     pub first_byte_ms: u64,
 }
 
-/// What is needed to pick an endpoint.
+/// The properties of a request by which its endpoint is picked.
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// Whose request it is.
+pub struct PickRequest {
+    /// The workspace that the request belongs to.
     pub workspace: WorkspaceId,
-    /// The service that is meant.
+    /// The requested service.
     pub service: ServiceId,
-    /// The caller's key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<String>,
-    /// Endpoints that have been tried.
+    /// Endpoints at which the request has already been attempted.
     pub tried: Vec<EndpointId>,
-    /// Hash of the start of the prompt; 0 for none.
+    /// Hash of the prefix of the prompt, or 0 if there is no prompt.
     pub prefix_hash: u64,
-    /// Predicted work.
+    /// Predicted cost, in tokens or calls.
     pub cost: u64,
 }
 
@@ -60,31 +60,31 @@
 pub struct Target {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The life of its agent.
+    /// The incarnation of its agent.
     pub incarnation: Incarnation,
     /// The link to its agent.
     pub link: AgentLink,
-    /// Requests of this entry that are under way there.
+    /// Requests of this entry that are in flight at the endpoint.
     pub in_flight: Arc<AtomicU32>,
 }
 
-/// One heartbeat that is due.
-pub struct DueBeat {
+/// A heartbeat that is due.
+pub struct DueHeartbeat {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The address of its agent, if the configuration no longer names it.
+    /// The address of the agent, if the configuration no longer names it.
     pub former_addr: Option<SocketAddr>,
     /// The link to its agent.
     pub link: AgentLink,
-    /// What to say.
-    pub beat: Heartbeat,
+    /// The content of the heartbeat.
+    pub heartbeat: Heartbeat,
 }
 
-/// What an agent lacks of the configuration.
+/// An update of the configuration for an agent that has an older version.
 #[derive(Debug)]
-pub struct Lacking {
-    /// The whole configuration.
+pub struct ConfigUpdate {
+    /// The complete configuration.
     pub config: Arc<Configuration>,
-    /// What changed since the version that the agent has, if that is remembered.
+    /// The changes since the agent's version, if they are still known.
     pub delta: Option<Delta>,
 }
--- a/crates/ochreyard-entry/src/upkeep.rs
+++ b/crates/ochreyard-entry/src/upkeep.rs
@@ -1,5 +1,5 @@
-//! What an entry does by itself: reads the log, sends heartbeats, writes what
-//! is its turn to write.
+//! Background tasks of an entry: reading the log and the platform's list of boxes, sending heartbeats, and
+//! appending records to the log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,48 +12,49 @@
 use ochreyard_process::Clock;
 
 use crate::balancer::{
-    Adopt, Balancer, Cursor, DueBeats, DueRecords, GetSeed, LinkBroke, NeedsPeers, ReadPage, TakeBoxList, TakeReport,
+    AdoptConfig, ApplyBoxList, ApplyPage, ApplyReport, Balancer, DueHeartbeats, DueRecords, GetCursor, GetSeed,
+    LinkLost, NeedsPeerConfig,
 };
-use crate::state::{DueBeat, Lacking};
+use crate::state::{ConfigUpdate, DueHeartbeat};
 
-/// Records that are read at once.
-const PAGE_RECORDS: u32 = 500;
-/// How often the platform's list of boxes is read.
-const BOX_LIST_EVERY: Duration = Duration::from_secs(2);
+/// Most records in one page of the log.
+const MAX_PAGE_RECORDS: u32 = 500;
+/// Interval between reads of the platform's list of boxes.
+const BOX_LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the log to its present end.
+/// Reads the log up to its current end.
 ///
 /// # Errors
 ///
-/// [`PlatformError`] when a page could not be read; what was read is kept.
+/// Returns a [`PlatformError`] if a page could not be read. The pages read before it remain applied.
 pub async fn read_to_end<L: LogStream>(
     log: &L,
     balancer: &ActorRef<Balancer>,
     clock: &Clock,
 ) -> Result<(), PlatformError> {
-    let ended = || PlatformError::Unavailable("the entry stops".into());
+    let entry_stopping = || PlatformError::Unavailable("the entry stops".into());
     loop {
         let started_ms = clock.now_ms();
-        let from = balancer.ask(Cursor {}).await.map_err(|_| ended())?;
-        let page = log.read(from, PAGE_RECORDS).await?;
+        let from = balancer.ask(GetCursor {}).await.map_err(|_| entry_stopping())?;
+        let page = log.read(from, MAX_PAGE_RECORDS).await?;
         let next_offset = page.next_offset;
-        let events = balancer.ask(ReadPage { page, started_ms }).await.map_err(|_| ended())?;
-        events.iter().for_each(note);
-        let cursor = balancer.ask(Cursor {}).await.map_err(|_| ended())?;
+        let events = balancer.ask(ApplyPage { page, started_ms }).await.map_err(|_| entry_stopping())?;
+        events.iter().for_each(record_event);
+        let cursor = balancer.ask(GetCursor {}).await.map_err(|_| entry_stopping())?;
         if cursor >= next_offset || cursor == from {
             return Ok(());
         }
     }
 }
 
-fn note(event: &FoldEvent) {
+fn record_event(event: &FoldEvent) {
     match event {
         FoldEvent::VersionInForce(version) => {
             metrics::gauge!("ochreyard_entry_config_version").set(*version as f64);
             log::info!("event=config_in_force version={version}");
         }
         FoldEvent::Accepted(plan_id) => log::info!("event=plan_accepted plan_id={plan_id}"),
-        FoldEvent::Voided(plan_id, void) => log::warn!("event=plan_void plan_id={plan_id} cause=\"{void}\""),
+        FoldEvent::Voided(plan_id, reason) => log::warn!("event=plan_void plan_id={plan_id} cause=\"{reason}\""),
         FoldEvent::Unreadable { offset, problem } => {
             metrics::counter!("ochreyard_entry_unreadable_records_total").increment(1);
             log::error!("event=record_unreadable offset={offset} problem=\"{problem}\"");
@@ -62,37 +63,37 @@
     }
 }
 
-/// The other entries.
+/// The other entries, which are asked for the configuration while the log cannot be read.
 pub struct Peers {
-    /// Where they tell their configuration.
+    /// Addresses at which they serve their configuration.
     pub addrs: Vec<SocketAddr>,
-    /// Token to show to them.
+    /// Token that authenticates this entry to them.
     pub token: String,
-    /// The thread of the links.
+    /// The thread that runs the links.
     pub thread: LocalThread,
 }
 
 impl Peers {
-    /// Takes over the newest configuration among the reachable peers.
-    async fn ask(&self, balancer: &ActorRef<Balancer>) {
+    /// Adopts the newest configuration among those of the reachable peers.
+    async fn adopt_newest_config(&self, balancer: &ActorRef<Balancer>) {
         for addr in &self.addrs {
             let Ok(Some(config)) = fetch_state(&self.thread, *addr, self.token.clone()).await else { continue };
             let version = config.version();
-            if balancer.ask(Adopt { config: Arc::new(config) }).await.unwrap_or(false) {
+            if balancer.ask(AdoptConfig { config: Arc::new(config) }).await.unwrap_or(false) {
                 log::info!("event=config_from_peer peer={addr} version={version}");
             }
         }
     }
 }
 
-/// Follows the log for as long as the entry runs; while it cannot, asks the peers.
+/// Follows the log for as long as the entry runs. While the log does not yield a state, adopts that of the peers.
 pub async fn follow_log<L: LogStream>(log: L, balancer: ActorRef<Balancer>, clock: Clock, poll_ms: u64, peers: Peers) {
     let mut failing = false;
     loop {
         let read = read_to_end(&log, &balancer, &clock).await;
-        note_readability(&mut failing, read.as_ref().err());
-        if balancer.ask(NeedsPeers {}).await.unwrap_or(false) {
-            peers.ask(&balancer).await;
+        record_log_access(&mut failing, read.as_ref().err());
+        if balancer.ask(NeedsPeerConfig {}).await.unwrap_or(false) {
+            peers.adopt_newest_config(&balancer).await;
             if read.is_ok() {
                 seed_if_lost(&log, &balancer, &clock).await;
             }
@@ -101,7 +102,7 @@
     }
 }
 
-fn note_readability(failing: &mut bool, error: Option<&PlatformError>) {
+fn record_log_access(failing: &mut bool, error: Option<&PlatformError>) {
     match error {
         None if *failing => log::info!("event=log_readable_again"),
         None => {}
@@ -115,44 +116,44 @@
     *failing = error.is_some();
 }
 
-/// The log was read to its end and holds no state to start from: the newest
-/// state among the peers becomes the start. Of several seeds the first counts.
+/// Appends the newest state that this entry knows as a seed, if the log was read to its end and no longer holds a state
+/// to start from. If several entries append a seed, the first one counts.
 async fn seed_if_lost<L: LogStream>(log: &L, balancer: &ActorRef<Balancer>, clock: &Clock) {
-    // A peer may have written a seed in the meantime.
+    // Another entry may have appended a seed in the meantime.
     if read_to_end(log, balancer, clock).await.is_err() {
         return;
     }
     if let Ok(Some(seed)) = balancer.ask(GetSeed {}).await {
         log::warn!("event=log_seeded");
-        write(log, &seed).await;
+        append_record(log, &seed).await;
     }
 }
 
-/// Sends heartbeats, and writes records that are this entry's turn to write.
-pub async fn keep_heartbeats<L: LogStream>(log: L, balancer: ActorRef<Balancer>, heartbeat_ms: u64) {
+/// Sends heartbeats to the agents, and appends the records that are due at this entry, once per `heartbeat_ms`.
+pub async fn send_heartbeats<L: LogStream>(log: L, balancer: ActorRef<Balancer>, heartbeat_ms: u64) {
     let mut interval = tokio::time::interval(Duration::from_millis(heartbeat_ms));
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let timeout = Duration::from_millis(heartbeat_ms * 2);
     loop {
         interval.tick().await;
-        let Ok(beats) = balancer.ask(DueBeats {}).await else { return };
-        for due in beats {
-            tokio::spawn(beat(due, balancer.clone(), timeout));
+        let Ok(heartbeats) = balancer.ask(DueHeartbeats {}).await else { return };
+        for due in heartbeats {
+            tokio::spawn(send_heartbeat(due, balancer.clone(), timeout));
         }
         let Ok(records) = balancer.ask(DueRecords {}).await else { return };
         for record in records {
-            write(&log, &record).await;
+            append_record(&log, &record).await;
         }
     }
 }
 
-async fn beat(due: DueBeat, balancer: ActorRef<Balancer>, timeout: Duration) {
-    let DueBeat { endpoint, former_addr, link, beat } = due;
-    match tokio::time::timeout(timeout, link.heartbeat(beat)).await {
+async fn send_heartbeat(due: DueHeartbeat, balancer: ActorRef<Balancer>, timeout: Duration) {
+    let DueHeartbeat { endpoint, former_addr, link, heartbeat } = due;
+    match tokio::time::timeout(timeout, link.heartbeat(heartbeat)).await {
         Ok(Ok(report)) => {
-            let lacking = balancer.ask(TakeReport { endpoint, former_addr, report }).await.ok().flatten();
-            if let Some(lacking) = lacking
-                && let Err(error) = bring_up_to_date(&link, lacking).await
+            let update = balancer.ask(ApplyReport { endpoint, former_addr, report }).await.ok().flatten();
+            if let Some(update) = update
+                && let Err(error) = send_config_update(&link, update).await
             {
                 log::warn!("event=configure_failed error=\"{error}\"");
             }
@@ -160,17 +161,17 @@
         Ok(Err(error)) => {
             log::debug!("event=heartbeat_failed endpoint={endpoint} error=\"{error}\"");
             if former_addr.is_none() {
-                let _ = balancer.tell(LinkBroke { endpoint }).await;
+                let _ = balancer.tell(LinkLost { endpoint }).await;
             }
         }
-        // Silence is judged by its length.
+        // A timeout alone does not mark the link as lost: `Membership` judges an agent by how long it has been silent.
         Err(_) => log::debug!("event=heartbeat_late endpoint={endpoint}"),
     }
 }
 
-/// Sends what changed, or the whole configuration where that is not enough.
-async fn bring_up_to_date(link: &AgentLink, lacking: Lacking) -> Result<(), LinkError> {
-    let Lacking { config, delta } = lacking;
+/// Sends the delta, or the complete configuration if there is no delta or the agent is still behind after it.
+async fn send_config_update(link: &AgentLink, update: ConfigUpdate) -> Result<(), LinkError> {
+    let ConfigUpdate { config, delta } = update;
     if let Some(delta) = delta
         && link.extend(delta).await? >= config.version()
     {
@@ -179,21 +180,21 @@
     link.configure(config).await.map(drop)
 }
 
-async fn write<L: LogStream>(log: &L, record: &ConfigRecord) {
+async fn append_record<L: LogStream>(log: &L, record: &ConfigRecord) {
     let Ok(text) = serde_json::to_string(record) else { return };
     if let Err(error) = log.append(&text).await {
         log::warn!("event=append_failed error=\"{error}\"");
     }
 }
 
-/// Reads the platform's lagging list of boxes.
+/// Reads the platform's list of boxes, which lags behind the boxes' state.
 pub async fn follow_box_list<B: BoxList>(list: B, balancer: ActorRef<Balancer>) {
-    let mut interval = tokio::time::interval(BOX_LIST_EVERY);
+    let mut interval = tokio::time::interval(BOX_LIST_INTERVAL);
     loop {
         interval.tick().await;
         let Ok(boxes) = list.boxes().await else { continue };
         let leaving = boxes.into_iter().filter(|b| b.state == BoxState::Leaving).filter_map(|b| b.endpoint).collect();
-        if balancer.tell(TakeBoxList { leaving }).await.is_err() {
+        if balancer.tell(ApplyBoxList { leaving }).await.is_err() {
             return;
         }
     }
--- a/crates/ochreyard-entry/tests/cli.rs
+++ b/crates/ochreyard-entry/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: help, version, wrong usage, settings.
+//! The command line: help, version, usage errors and settings.
 
 use std::process::{Command, Output};
 
@@ -13,19 +13,19 @@
 #[case::help_of_a_command(&["check", "--help"], "check")]
 #[case::version(&["--version"], env!("CARGO_PKG_VERSION"))]
 #[case::fields(&["fields"], "data_centre")]
-fn a_question_is_answered_on_standard_output(#[case] args: &[&str], #[case] says: &str) {
+fn help_version_and_fields_are_printed_on_standard_output(#[case] args: &[&str], #[case] expected: &str) {
     let output = run(args);
     assert!(output.status.success());
-    assert!(String::from_utf8_lossy(&output.stdout).contains(says));
+    assert!(String::from_utf8_lossy(&output.stdout).contains(expected));
 }
 
 #[rstest]
-#[case::nothing(&[])]
-#[case::unknown(&["bogus"])]
+#[case::no_command(&[])]
+#[case::unknown_command(&["bogus"])]
 #[case::no_settings(&["serve"])]
 #[case::unknown_report(&["report", "heat"])]
 #[case::plan_without_entry(&["plan", "x.yaml"])]
-fn wrong_usage_exits_2_with_one_line_that_says_what_to_do(#[case] args: &[&str]) {
+fn a_usage_error_exits_with_2_and_one_line_that_points_to_the_help(#[case] args: &[&str]) {
     let output = run(args);
     assert_eq!(output.status.code(), Some(2));
     let line = String::from_utf8_lossy(&output.stderr);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn check_lists_all_faults_and_prints_no_secret() {
+fn check_lists_all_errors_and_prints_no_secret() {
     let dir = std::env::temp_dir().join(format!("ochreyard-cli-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let secret = dir.join("token");
@@ -44,40 +44,40 @@
     std::fs::write(&settings, text).unwrap();
     let output = run(&["check", settings.to_str().unwrap()]);
     std::fs::remove_dir_all(&dir).unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
     for field in ["data_centre", "log_level", "nonsense", "is missing"] {
-        assert!(said.contains(field), "{field}: {said}");
+        assert!(errors.contains(field), "{field}: {errors}");
     }
-    assert!(!said.contains("not-for-print"));
+    assert!(!errors.contains("not-for-print"));
 }
 
 #[rstest]
 #[case::serve(&["fields"])]
 #[case::direct(&["fields", "--direct"])]
-fn the_page_of_settings_has_the_table_of_the_code(#[case] args: &[&str]) {
+fn the_settings_page_contains_the_printed_reference(#[case] args: &[&str]) {
     let table = String::from_utf8(run(args).stdout).unwrap();
     assert!(
         include_str!("../../../docs/settings.md").contains(&table),
-        "run `fields` and put it into docs/settings.md"
+        "run `fields` and copy its output into docs/settings.md"
     );
 }
 
 #[test]
-fn check_knows_the_settings_of_an_entry_that_calls_endpoints_itself() {
+fn check_direct_reports_errors_in_the_settings_of_a_direct_entry() {
     let file = std::env::temp_dir().join(format!("ochreyard-direct-{}.yaml", std::process::id()));
     std::fs::write(&file, "entry: e\ndata_centre: a\nrepeat_ratio: 3\n").unwrap();
     let output = run(&["check", "--direct", file.to_str().unwrap()]);
     std::fs::remove_file(&file).unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1));
-    for said_so in ["repeat_ratio", "is out of range: 3", "callers_addr", "is missing"] {
-        assert!(said.contains(said_so), "{said_so}: {said}");
+    for expected in ["repeat_ratio", "is out of range: 3", "callers_addr", "is missing"] {
+        assert!(errors.contains(expected), "{expected}: {errors}");
     }
 }
 
-/// The process reads its settings from a pipe, so it is past its first lines, and
-/// not yet serving, for as long as nothing is written there.
+/// The process reads its settings from a pipe. As long as nothing is written to the pipe, it has passed the start of
+/// `main`, but does not serve yet.
 #[test]
 fn a_hangup_during_the_start_does_not_end_the_process() {
     let pipe = std::env::temp_dir().join(format!("ochreyard-hangup-ochreyard-{}", std::process::id()));
@@ -92,6 +92,6 @@
     assert!(Command::new("kill").args(["-HUP", &child.id().to_string()]).status().unwrap().success());
     std::io::Write::write_all(&mut settings, b"bogus: 1\n").unwrap();
     drop(settings);
-    assert_eq!(child.wait().unwrap().code(), Some(1), "it read the settings and told of their faults");
+    assert_eq!(child.wait().unwrap().code(), Some(1), "the process must read the settings and report their errors");
     std::fs::remove_file(&pipe).unwrap();
 }
--- a/crates/ochreyard-entry/tests/deploy.rs
+++ b/crates/ochreyard-entry/tests/deploy.rs
@@ -1,26 +1,26 @@
-//! The settings files that the platform fills, with figures that have a fraction.
+//! The settings templates that the platform fills in, with numbers that have a fraction.
 
 use std::process::Command;
 
 use rstest::rstest;
 
-/// Fills the template as the platform does, each figure as given.
-fn filled(template: &str, figure: &str) -> String {
+/// Fills in the template as the platform does, with `number` for each number.
+fn fill_in(template: &str, number: &str) -> String {
     let mut text = String::new();
-    // Marks of a section that is there if its figure is given stand on lines of their own.
-    let is_mark = |line: &&str| line.starts_with("{{#") || line.starts_with("{{/");
-    for line in template.lines().filter(|line| !is_mark(line)) {
-        let Some((field, gap)) = line.split_once(": ").filter(|(_, gap)| gap.contains("{{")) else {
+    // The markers around an optional section are on lines of their own.
+    let is_section_marker = |line: &&str| line.starts_with("{{#") || line.starts_with("{{/");
+    for line in template.lines().filter(|line| !is_section_marker(line)) {
+        let Some((field, placeholder)) = line.split_once(": ").filter(|(_, rest)| rest.contains("{{")) else {
             text.push_str(line);
             text.push('\n');
             continue;
         };
-        let value = match gap {
-            gap if gap.contains("ratio") => "0.2".to_owned(),
-            gap if gap.contains("bounds.") || gap.contains("limits.") => figure.to_owned(),
-            gap if gap.contains("zones") => "[\"hall=region\"]".to_owned(),
-            gap if gap.contains("seeds") => "[\"127.0.0.1:7000\"]".to_owned(),
-            gap if gap.contains("ip}}") || gap.contains("listen") || gap.contains("address") => {
+        let value = match placeholder {
+            name if name.contains("ratio") => "0.2".to_owned(),
+            name if name.contains("bounds.") || name.contains("limits.") => number.to_owned(),
+            name if name.contains("zones") => "[\"hall=region\"]".to_owned(),
+            name if name.contains("seeds") => "[\"127.0.0.1:7000\"]".to_owned(),
+            name if name.contains("ip}}") || name.contains("listen") || name.contains("address") => {
                 "\"127.0.0.1:7000\"".to_owned()
             }
             _ => "\"some-name\"".to_owned(),
@@ -31,11 +31,11 @@
 }
 
 #[rstest]
-#[case::whole("600")]
+#[case::without_a_fraction("600")]
 #[case::with_a_fraction("537.333")]
-fn every_figure_of_the_platform_may_have_a_fraction(#[case] figure: &str) {
-    let text = filled(include_str!("../../../deploy/entry.yaml"), figure);
-    let file = std::env::temp_dir().join(format!("ochreyard-filled-{figure}-{}.yaml", std::process::id()));
+fn every_number_from_the_platform_may_have_a_fraction(#[case] number: &str) {
+    let text = fill_in(include_str!("../../../deploy/entry.yaml"), number);
+    let file = std::env::temp_dir().join(format!("ochreyard-filled-{number}-{}.yaml", std::process::id()));
     std::fs::write(&file, &text).unwrap();
     let output = Command::new(env!("CARGO_BIN_EXE_ochreyard")).args(["check", "--direct"]).arg(&file).output().unwrap();
     std::fs::remove_file(&file).unwrap();
