--- a/crates/ochreyard-operator/src/api.rs
+++ b/crates/ochreyard-operator/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP side of an entry.
+//! The operators' HTTP API of an entry.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -18,24 +18,24 @@
 use crate::intent::MAX_INTENT_BYTES;
 use crate::report::{BurnRow, Status};
 
-/// An error as operators get it.
+/// The body of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ApiError {
     /// Name of the error kind.
     pub kind: String,
-    /// What happened.
+    /// Description of the error.
     pub message: String,
-    /// Faults of the intent, if that is the cause.
+    /// Errors in the intent, if they are the cause.
     #[serde(default)]
     pub faults: Vec<ChangeError>,
 }
 
-/// A failed operator's call.
+/// Why a call of the operators' API was refused.
 #[derive(Debug, Clone)]
 pub struct ControlError {
     /// The refusal.
     pub refusal: Refusal,
-    /// Faults of the intent.
+    /// Errors in the intent.
     pub faults: Vec<ChangeError>,
 }
 
@@ -54,29 +54,29 @@
     }
 }
 
-/// What an entry can do for operators.
+/// The operations of an entry behind the operators' API.
 pub trait Control: Send + Sync + 'static {
-    /// Makes a plan for an intent in YAML.
+    /// Makes and records a plan for an intent in YAML.
     fn plan(&self, yaml: String) -> impl Future<Output = Result<Plan, ControlError>> + Send;
 
-    /// Confirms a plan, and returns the version that it came into force with.
+    /// Confirms a plan and returns the configuration version with which it came into force.
     fn confirm(&self, plan_id: PlanId) -> impl Future<Output = Result<u64, ControlError>> + Send;
 
-    /// The system as this entry sees it.
+    /// Returns the state of the system as this entry sees it.
     fn status(&self) -> impl Future<Output = Status> + Send;
 
-    /// This entry's part of the report on burn.
+    /// Returns the burn rates that this entry has measured.
     fn burn(&self) -> impl Future<Output = Vec<BurnRow>> + Send;
 }
 
-/// The answer to a confirmation.
+/// The response to a confirmation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmResponse {
-    /// The version that the plan came into force with.
+    /// The configuration version with which the plan came into force.
     pub version: u64,
 }
 
-/// The operators' routes, open to whoever holds the token with this SHA-256.
+/// Returns the routes of the operators' API. Requests must present the token whose SHA-256 is `token_sha256`.
 pub fn router<C: Control>(control: Arc<C>, token_sha256: String) -> Router {
     let expected = Arc::new(token_sha256);
     Router::new()
@@ -89,15 +89,15 @@
         .with_state(control)
 }
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request.
 #[must_use]
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     headers.get(header::AUTHORIZATION)?.to_str().ok()?.strip_prefix("Bearer ")
 }
 
 async fn authenticate(State(expected): State<Arc<String>>, request: Request, next: Next) -> Response {
-    let known = bearer(request.headers()).is_some_and(|token| sha256_hex(token) == *expected);
-    if known {
+    let is_authenticated = bearer(request.headers()).is_some_and(|token| sha256_hex(token) == *expected);
+    if is_authenticated {
         return next.run(request).await;
     }
     ControlError::from(Refusal::new(ErrorKind::Unauthenticated).with_detail("the operators' token is needed"))
--- a/crates/ochreyard-operator/src/client.rs
+++ b/crates/ochreyard-operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' client, as the command line uses it.
+//! The client for the operators' API, which the command line uses.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 /// How long an entry may take to answer.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Why an operator's call gave nothing.
+/// Why a call of the operators' API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The entry cannot be reached.
+    /// The entry cannot be reached, or its answer cannot be read.
     #[error("the entry at {url} cannot be reached: {problem}")]
     Unreachable {
-        /// Where it should be.
+        /// The base URL of the entry.
         url: String,
-        /// What the connection said.
+        /// The error of the HTTP client.
         problem: String,
     },
-    /// The entry refused.
+    /// The entry refused the call.
     #[error("{}", render(.0))]
     Refused(ApiError),
 }
@@ -33,7 +33,7 @@
     std::iter::once(error.message.clone()).chain(faults).collect()
 }
 
-/// A client of one entry's operator side.
+/// A client for the operators' API of one entry.
 #[derive(Debug, Clone)]
 pub struct OperatorClient {
     http: Client,
@@ -42,7 +42,7 @@
 }
 
 impl OperatorClient {
-    /// A client of the entry at `base_url`.
+    /// Creates a client for the entry at `base_url`.
     #[must_use]
     pub fn new(base_url: impl Into<String>, token: impl Into<String>) -> Self {
         let http = Client::builder().timeout(TIMEOUT).no_proxy().build().unwrap_or_default();
@@ -50,48 +50,48 @@
         Self { http, base_url, token: token.into() }
     }
 
-    /// Sends an intent in YAML.
+    /// Sends an intent in YAML and returns the resulting plan.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when no plan came back.
+    /// Returns a [`ClientError`] if no plan was returned.
     pub async fn plan(&self, yaml: String) -> Result<Plan, ClientError> {
-        self.ask(self.http.post(self.url("plan")).body(yaml)).await
+        self.send(self.http.post(self.url("plan")).body(yaml)).await
     }
 
-    /// Confirms a plan and returns the version that it came into force with.
+    /// Confirms a plan and returns the configuration version with which it came into force.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when it was refused or its fate is not known.
+    /// Returns a [`ClientError`] if the confirmation was refused or its outcome is unknown.
     pub async fn confirm(&self, plan_id: &str) -> Result<u64, ClientError> {
-        let confirmed: ConfirmResponse = self.ask(self.http.post(self.url(&format!("confirm/{plan_id}")))).await?;
+        let confirmed: ConfirmResponse = self.send(self.http.post(self.url(&format!("confirm/{plan_id}")))).await?;
         Ok(confirmed.version)
     }
 
-    /// Asks for the status.
+    /// Fetches the status.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when none came back.
+    /// Returns a [`ClientError`] if no answer was returned.
     pub async fn status(&self) -> Result<Status, ClientError> {
-        self.ask(self.http.get(self.url("status"))).await
+        self.send(self.http.get(self.url("status"))).await
     }
 
-    /// Asks for this entry's part of the report on burn.
+    /// Fetches the burn rates that this entry has measured.
     ///
     /// # Errors
     ///
-    /// [`ClientError`] when none came back.
+    /// Returns a [`ClientError`] if no answer was returned.
     pub async fn burn(&self) -> Result<Vec<BurnRow>, ClientError> {
-        self.ask(self.http.get(self.url("burn"))).await
+        self.send(self.http.get(self.url("burn"))).await
     }
 
     fn url(&self, path: &str) -> String {
         format!("{}/operator/v1/{path}", self.base_url)
     }
 
-    async fn ask<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, ClientError> {
+    async fn send<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, ClientError> {
         let unreachable =
             |error: reqwest::Error| ClientError::Unreachable { url: self.base_url.clone(), problem: error.to_string() };
         let response = request.bearer_auth(&self.token).send().await.map_err(unreachable)?;
--- a/crates/ochreyard-operator/src/intent.rs
+++ b/crates/ochreyard-operator/src/intent.rs
@@ -1,15 +1,15 @@
-//! Reads an intent: YAML in, a checked change out.
+//! Parses an intent in YAML into a validated change of the configuration.
 
 use ochreyard_core::config::{Change, ChangeError, Configuration};
 
-/// Largest intent that is read, in bytes.
+/// Largest accepted intent, in bytes.
 pub const MAX_INTENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// Reads an intent and checks it against the present configuration.
+/// Parses an intent and validates it against the current configuration.
 ///
 /// # Errors
 ///
-/// All faults, each with field and fix.
+/// Returns all errors, each with the field and a fix.
 ///
 /// # Examples
 ///
@@ -17,8 +17,8 @@
 /// use ochreyard_core::config::Configuration;
 /// use ochreyard_operator::intent::parse;
 ///
-/// let faults = parse("services: [{service: maps, kind: modle}]", &Configuration::default()).unwrap_err();
-/// assert!(faults[0].problem.contains("modle"));
+/// let errors = parse("services: [{service: maps, kind: modle}]", &Configuration::default()).unwrap_err();
+/// assert!(errors[0].problem.contains("modle"));
 /// ```
 pub fn parse(yaml: &str, base: &Configuration) -> Result<Change, Vec<ChangeError>> {
     if yaml.len() > MAX_INTENT_BYTES {
--- a/crates/ochreyard-operator/src/lib.rs
+++ b/crates/ochreyard-operator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Towards operators: intent, plan, confirm, status, reports.
+//! The operators' interface: intents, plans, confirmation, status and reports.
 //!
-//! [`intent`] reads what an operator wants, [`api`] is the HTTP side of the
-//! entry, [`OperatorClient`] is what the command line uses.
+//! [`intent`] parses intents, [`api`] serves the operators' HTTP API of an entry, and [`OperatorClient`] calls it from the
+//! command line. [`RequestTimeline`] collects the log lines about one request.
 
 pub mod api;
 mod client;
--- a/crates/ochreyard-operator/src/report.rs
+++ b/crates/ochreyard-operator/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, and how it looks on a terminal.
+//! The status and the reports for operators, and their rendering as text.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use ochreyard_core::ids::EndpointId;
 use serde::{Deserialize, Serialize};
 
-/// One endpoint in the status.
+/// The row of one endpoint in the status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRow {
     /// The endpoint.
@@ -15,53 +15,53 @@
     pub service: String,
     /// Its data centre.
     pub data_centre: String,
-    /// How it looks from the entry that answers: alive, suspect, down or leaving.
+    /// Its health as the answering entry sees it: `alive`, `suspect`, `down` or `leaving`.
     pub health: String,
-    /// The version of the configuration in force at its agent.
+    /// The configuration version in force at its agent.
     pub config_version: u64,
-    /// Requests that run there.
+    /// Requests that are running at the endpoint.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are waiting at the endpoint.
     pub waiting: u32,
 }
 
-/// The system as one entry sees it.
+/// The state of the system as one entry sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// The box that answers.
+    /// The box of the answering entry.
     pub entry: String,
-    /// The version of the configuration in force there.
+    /// The configuration version in force at this entry.
     pub config_version: u64,
-    /// `following`, `empty` or `gap`: whether the state is the log's.
+    /// Whether the state follows the log: `following`, `empty` (nothing read yet) or `gap` (records were lost).
     pub log: String,
-    /// Age of the last successful read of the log, in milliseconds.
+    /// Age of the last read of the log that reached its end, in milliseconds.
     pub log_read_age_ms: Option<u64>,
     /// The endpoints.
     pub endpoints: Vec<EndpointRow>,
 }
 
-/// One line of the report on service-level burn.
+/// One row of the report on the burn of service-level error budgets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
     /// The service.
     pub service: String,
     /// The workspace.
     pub workspace: String,
-    /// Objective, in thousandths of the requests.
+    /// Share of the requests that must meet the objective, in thousandths.
     pub objective_permille: u64,
     /// Requests in the long window.
     pub requests: u64,
-    /// Those answered whole and in time.
+    /// Requests in the long window that were answered completely and on time.
     pub met: u64,
-    /// Burn rate over the short window: 1.0 spends the budget exactly.
+    /// Burn rate over the short window; 1.0 spends the error budget exactly.
     pub burn_short: f64,
     /// Burn rate over the long window.
     pub burn_long: f64,
-    /// What spent the budget, by error kind.
+    /// Requests that spent the error budget, by error kind.
     pub spent_by: Vec<(String, u64)>,
 }
 
-/// A plan as text.
+/// Renders a plan as text.
 #[must_use]
 pub fn render_plan(plan: &Plan) -> String {
     let mut out = format!("plan {}\nbase version {}\n", plan.record.plan_id, plan.record.base_version);
@@ -80,7 +80,7 @@
     out
 }
 
-/// The status as a table.
+/// Renders the status as a table.
 #[must_use]
 pub fn render_status(status: &Status) -> String {
     let age = status.log_read_age_ms.map_or("never".to_owned(), |ms| format!("{ms} ms ago"));
@@ -101,16 +101,16 @@
     out
 }
 
-/// Width of the bar of a spent budget, in characters.
+/// Width of the bar that shows the spent error budget, in characters.
 const BAR_CHARS: usize = 20;
 
-/// A spent budget as a bar: full when nothing is left.
+/// Renders the spent share of the error budget as a bar, which is full when nothing is left.
 fn budget_bar(burn: f64) -> String {
     let filled = (burn.clamp(0.0, 1.0) * BAR_CHARS as f64).round() as usize;
     format!("{}{}", "#".repeat(filled), ".".repeat(BAR_CHARS - filled))
 }
 
-/// The report on burn as a table, with the entries that could not be reached.
+/// Renders the burn report as a table, followed by the entries that could not be reached.
 #[must_use]
 pub fn render_burn(rows: &[BurnRow], unreached: &[String]) -> String {
     let mut out = format!(
--- a/crates/ochreyard-operator/src/timeline.rs
+++ b/crates/ochreyard-operator/src/timeline.rs
@@ -1,7 +1,7 @@
-//! One request's story, in order over the logs of all processes.
+//! What happened to one request, in order of time, from the logs of all processes.
 //!
-//! The logs are read twice: first for the lines that name the request, then for those that tell why it came to that:
-//! other attempts of the same request (its fingerprint), looks at the endpoints that had it, groups that stood meanwhile.
+//! The logs are read twice: first for the lines that name the request, then for those that explain its outcome: other
+//! requests with the same fingerprint, checks of the endpoints that received it, groups that were stalled at the time.
 
 mod line;
 mod reader;
@@ -12,14 +12,14 @@
 use std::path::{Path, PathBuf};
 
 use self::line::LogLine;
-use self::reader::{LineReader, Read};
+use self::reader::{LineRead, LineReader};
 
-/// How long before its first line, and after its last one, what happened to its endpoints and their groups is told, in
-/// milliseconds: a crash is told of within a second, and a group needs a few to form anew.
-const AROUND_MS: u64 = 3_000;
-/// Lines that are kept: far more than any one request leaves. What comes after them is counted.
+/// How long before the first line of a request, and after its last one, events of its endpoints and of groups are
+/// included, in milliseconds. A crash is reported within a second, and a group needs a few seconds to form again.
+const CONTEXT_MS: u64 = 3_000;
+/// Most lines that are kept, far more than any one request produces. Further lines are only counted.
 const MAX_LINES: usize = 2_000;
-/// Events that tell of endpoints.
+/// Events of a single endpoint. They are included for the endpoints that received the request.
 const ENDPOINT_EVENTS: [&str; 6] = [
     "endpoint_checked",
     "endpoint_known",
@@ -28,149 +28,150 @@
     "endpoint_backoff",
     "endpoint_leaves",
 ];
-/// Events that tell of whole groups, of limits that a request without an endpoint may have met, or of this box.
-const SURROUNDING_EVENTS: [&str; 6] =
+/// Events of whole groups, of limits that may have affected a request without an endpoint, or of the box itself. They
+/// are included for every request.
+const CONTEXT_EVENTS: [&str; 6] =
     ["group_state", "endpoint_limit", "data_centres_evacuated", "log_reachability", "log_came_back", "suspended"];
 
-/// One line of a story.
+/// One line of a timeline.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Told {
+struct TimelineLine {
     at_ms: u64,
     process: String,
     text: String,
 }
 
-/// Lines of one log that could not be read.
+/// Lines of one log file that could not be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreadableLines {
-    /// The log.
+    /// The log file.
     pub log: PathBuf,
-    /// How many.
-    pub lines: u64,
-    /// The number of the first one.
-    pub first: u64,
+    /// The number of unreadable lines.
+    pub count: u64,
+    /// The line number of the first one, counted from 1.
+    pub first_line: u64,
 }
 
-/// One request's story.
+/// The log lines about one request, in order of time.
 #[derive(Debug, Clone, Default)]
 pub struct RequestTimeline {
     request: String,
     fingerprints: BTreeSet<String>,
     endpoints: BTreeSet<String>,
-    from_ms: Option<u64>,
-    until_ms: u64,
-    told: Vec<Told>,
-    left_out: u64,
+    first_ms: Option<u64>,
+    last_ms: u64,
+    lines: Vec<TimelineLine>,
+    omitted_lines: u64,
     unreadable: Vec<UnreadableLines>,
 }
 
 impl RequestTimeline {
-    /// Reads the story of `request` out of `logs`.
+    /// Reads the timeline of `request` from the files `logs`.
     ///
     /// # Errors
     ///
-    /// When a log cannot be opened or read. Lines that are cut or damaged are passed over and counted.
+    /// Returns an error if a log cannot be opened or read. Truncated or damaged lines are skipped and counted.
     pub fn read(request: &str, logs: &[PathBuf]) -> io::Result<Self> {
-        let mut story = Self { request: request.to_owned(), ..Self::default() };
+        let mut timeline = Self { request: request.to_owned(), ..Self::default() };
         for log in logs {
-            let unreadable = each_line(log, |line| story.note_request(log, line))?;
-            story.unreadable.extend(unreadable);
+            let unreadable = each_line(log, |line| timeline.collect_request_line(log, line))?;
+            timeline.unreadable.extend(unreadable);
         }
         for log in logs {
-            each_line(log, |line| story.note_cause(log, line))?;
+            each_line(log, |line| timeline.collect_related_line(log, line))?;
         }
-        story.told.sort();
-        Ok(story)
+        timeline.lines.sort();
+        Ok(timeline)
     }
 
-    /// Whether no line names the request.
+    /// Returns whether no line names the request.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.from_ms.is_none()
+        self.first_ms.is_none()
     }
 
-    /// Lines that could not be read, by log.
+    /// Returns how many lines could not be read, for each log that has any.
     #[must_use]
     pub fn unreadable(&self) -> &[UnreadableLines] {
         &self.unreadable
     }
 
-    /// Takes a line that names the request, and what it says of others to look for.
-    fn note_request(&mut self, log: &Path, line: &LogLine<'_>) {
+    /// Collects a line if it names the request, with the fingerprint and the endpoint by which related lines are found.
+    fn collect_request_line(&mut self, log: &Path, line: &LogLine<'_>) {
         if line.field("request") != Some(&self.request) {
             return;
         }
-        self.from_ms = Some(self.from_ms.map_or(line.at_ms, |from_ms| from_ms.min(line.at_ms)));
-        self.until_ms = self.until_ms.max(line.at_ms);
+        self.first_ms = Some(self.first_ms.map_or(line.at_ms, |first_ms| first_ms.min(line.at_ms)));
+        self.last_ms = self.last_ms.max(line.at_ms);
         self.fingerprints.extend(line.field("fingerprint").map(str::to_owned));
         self.endpoints.extend(line.field("endpoint").map(str::to_owned));
-        self.tell(log, line);
+        self.push_line(log, line);
     }
 
-    /// Takes a line that tells why something happened to the request.
-    fn note_cause(&mut self, log: &Path, line: &LogLine<'_>) {
+    /// Collects a line that does not name the request, but may explain what happened to it.
+    fn collect_related_line(&mut self, log: &Path, line: &LogLine<'_>) {
         let is_named = line.field("request") == Some(&self.request);
-        if !is_named && (self.is_of_same_request(line) || self.is_of_surroundings(line)) {
-            self.tell(log, line);
+        if !is_named && (self.has_same_fingerprint(line) || self.is_context(line)) {
+            self.push_line(log, line);
         }
     }
 
-    fn is_of_same_request(&self, line: &LogLine<'_>) -> bool {
+    fn has_same_fingerprint(&self, line: &LogLine<'_>) -> bool {
         line.field("fingerprint").is_some_and(|fingerprint| self.fingerprints.contains(fingerprint))
     }
 
-    fn is_of_surroundings(&self, line: &LogLine<'_>) -> bool {
-        let Some(from_ms) = self.from_ms else { return false };
-        let is_near = line.at_ms + AROUND_MS >= from_ms && line.at_ms <= self.until_ms + AROUND_MS;
+    fn is_context(&self, line: &LogLine<'_>) -> bool {
+        let Some(first_ms) = self.first_ms else { return false };
+        let is_in_time = line.at_ms + CONTEXT_MS >= first_ms && line.at_ms <= self.last_ms + CONTEXT_MS;
         let event = line.field("event").unwrap_or_default();
         let is_of_endpoint = ENDPOINT_EVENTS.contains(&event)
             && line.field("endpoint").is_some_and(|endpoint| self.endpoints.contains(endpoint));
-        is_near && (is_of_endpoint || SURROUNDING_EVENTS.contains(&event))
+        is_in_time && (is_of_endpoint || CONTEXT_EVENTS.contains(&event))
     }
 
-    fn tell(&mut self, log: &Path, line: &LogLine<'_>) {
-        if self.told.len() == MAX_LINES {
-            self.left_out += 1;
+    fn push_line(&mut self, log: &Path, line: &LogLine<'_>) {
+        if self.lines.len() == MAX_LINES {
+            self.omitted_lines += 1;
             return;
         }
         let name = log.file_stem().map_or_else(String::new, |name| name.to_string_lossy().into_owned());
-        self.told.push(Told { at_ms: line.at_ms, process: name, text: line.message.to_owned() });
+        self.lines.push(TimelineLine { at_ms: line.at_ms, process: name, text: line.message.to_owned() });
     }
 }
 
 impl fmt::Display for RequestTimeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(from_ms) = self.from_ms else {
+        let Some(first_ms) = self.first_ms else {
             return writeln!(f, "no line names request {}", self.request);
         };
-        for told in &self.told {
-            let offset_s = (told.at_ms as f64 - from_ms as f64) / 1_000.0;
-            writeln!(f, "{offset_s:+9.3} s  {}  {}", told.process, told.text)?;
+        for line in &self.lines {
+            let offset_s = (line.at_ms as f64 - first_ms as f64) / 1_000.0;
+            writeln!(f, "{offset_s:+9.3} s  {}  {}", line.process, line.text)?;
         }
-        if self.left_out > 0 {
-            writeln!(f, "{} more lines are left out", self.left_out)?;
+        if self.omitted_lines > 0 {
+            writeln!(f, "{} more lines are left out", self.omitted_lines)?;
         }
         Ok(())
     }
 }
 
-/// Hands each line of a log that can be read to `take`. Gives those that cannot, if there are any.
-fn each_line(log: &Path, mut take: impl FnMut(&LogLine<'_>)) -> io::Result<Option<UnreadableLines>> {
+/// Calls `handle` for each readable line of a log. Returns the unreadable lines, if there are any.
+fn each_line(log: &Path, mut handle: impl FnMut(&LogLine<'_>)) -> io::Result<Option<UnreadableLines>> {
     let mut reader = LineReader::open(log)?;
     let mut unreadable: Option<UnreadableLines> = None;
     let mut number = 0;
     loop {
         number += 1;
         let parsed = match reader.next()? {
-            Read::End => return Ok(unreadable),
-            Read::Line(bytes) => std::str::from_utf8(bytes).ok().and_then(LogLine::parse),
-            Read::TooLong => None,
+            LineRead::End => return Ok(unreadable),
+            LineRead::Line(bytes) => std::str::from_utf8(bytes).ok().and_then(LogLine::parse),
+            LineRead::TooLong => None,
         };
         match parsed {
-            Some(line) => take(&line),
+            Some(line) => handle(&line),
             None => {
-                let first = UnreadableLines { log: log.to_owned(), lines: 0, first: number };
-                unreadable.get_or_insert(first).lines += 1;
+                let none_yet = UnreadableLines { log: log.to_owned(), count: 0, first_line: number };
+                unreadable.get_or_insert(none_yet).count += 1;
             }
         }
     }
--- a/crates/ochreyard-operator/src/timeline/line.rs
+++ b/crates/ochreyard-operator/src/timeline/line.rs
@@ -1,17 +1,17 @@
-//! One log line, as a view of its text.
+//! A parsed log line that borrows its text.
 
-/// One log line: when it was written, and its pairs of key and value.
+/// A log line: its time, and a message of `key=value` pairs.
 #[derive(Debug, Clone, Copy)]
 pub struct LogLine<'a> {
-    /// When it was written, by the clock of its box, in milliseconds since 1970.
+    /// When the line was written, by the clock of its box, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What follows the level and the place in the code.
+    /// The text after the level and the target, from the key `event` on.
     pub message: &'a str,
 }
 
 impl<'a> LogLine<'a> {
-    /// Reads a line; `None` where it holds no time or no event. What stands before the time is passed over: whoever
-    /// gathers logs may put the name of the box there.
+    /// Parses a line; `None` if it has no time or no event. Text before the time is ignored, since a log collector may
+    /// put the name of the box there.
     pub fn parse(line: &'a str) -> Option<Self> {
         let line = &line[line.find("ts_ms=")?..];
         let at_ms = line["ts_ms=".len()..].split(' ').next()?.parse().ok()?;
@@ -19,7 +19,7 @@
         Some(Self { at_ms, message })
     }
 
-    /// The value of a key, without its quotes.
+    /// Returns the value of a key, without its quotes.
     pub fn field(&self, key: &str) -> Option<&'a str> {
         let mut rest = self.message;
         while !rest.is_empty() {
@@ -35,13 +35,13 @@
     }
 }
 
-/// The first pair, and what follows it. A value in quotes may hold blanks.
+/// Splits off the first pair. A quoted value may contain spaces.
 fn split_pair(text: &str) -> (&str, &str) {
     let mut is_quoted = false;
-    for (at, sign) in text.char_indices() {
-        match sign {
+    for (index, character) in text.char_indices() {
+        match character {
             '"' => is_quoted = !is_quoted,
-            ' ' if !is_quoted => return (&text[..at], &text[at + 1..]),
+            ' ' if !is_quoted => return (&text[..index], &text[index + 1..]),
             _ => {}
         }
     }
