--- a/crates/ochreyard-caller/src/answer.rs
+++ b/crates/ochreyard-caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets.
+//! The HTTP responses to callers.
 
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, StatusCode, header};
@@ -6,27 +6,26 @@
 use ochreyard_core::error_kind::{Refusal, RunStatus};
 use tokio::sync::mpsc;
 
-/// Header that says what is known about the run.
+/// Header that says whether the request has run.
 pub const RUN: &str = "ochreyard-run";
 /// Header with the identifier of the request.
 pub const REQUEST_ID: &str = "ochreyard-request-id";
 
-/// A part of the body, or the reason why there will be no more.
+/// A chunk of the body, or the reason why the body ends early.
 pub type BodyChunk = Result<Bytes, Refusal>;
 
-/// An answer whose body follows part by part. The body is whole only if
-/// `chunks` ends without a refusal.
+/// An answer whose body arrives in chunks. The body is complete only if `chunks` ends without a refusal.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Value of `Content-Type`; empty for none.
+    /// Value of `Content-Type`, or empty if there is none.
     pub content_type: String,
     /// The body.
     pub chunks: mpsc::Receiver<BodyChunk>,
 }
 
-/// The final word on one request.
+/// The final result of a request.
 #[derive(Debug)]
 pub struct CallerReply {
     /// Identifier of the request.
@@ -36,10 +35,10 @@
 }
 
 impl CallerReply {
-    /// As an HTTP response.
+    /// Converts the result into an HTTP response.
     pub(crate) fn into_response(self) -> Response<Body> {
         let mut response = match self.result {
-            Ok(answer) => whole_response(answer),
+            Ok(answer) => streaming_response(answer),
             Err(refusal) => refusal_response(&refusal),
         };
         if let Ok(id) = HeaderValue::from_str(&self.request_id) {
@@ -49,18 +48,18 @@
     }
 }
 
-fn whole_response(answer: CallerAnswer) -> Response<Body> {
+fn streaming_response(answer: CallerAnswer) -> Response<Body> {
     let CallerAnswer { status, content_type, mut chunks } = answer;
     let is_event_stream = content_type.starts_with("text/event-stream");
     let body = async_stream::stream! {
-        while let Some(part) = chunks.recv().await {
-            match part {
+        while let Some(chunk) = chunks.recv().await {
+            match chunk {
                 Ok(bytes) => yield Ok(bytes),
                 Err(refusal) => {
                     if is_event_stream {
                         yield Ok(Bytes::from(format!("event: error\ndata: {}\n\n", error_body(&refusal))));
                     }
-                    // An error here breaks the connection off, so that what came does not look whole.
+                    // An error here closes the connection early, so that the partial body does not look complete.
                     yield Err(std::io::Error::other(refusal));
                     return;
                 }
@@ -82,7 +81,7 @@
     })
 }
 
-/// A refusal as an HTTP response.
+/// Converts a refusal into an HTTP response.
 pub(crate) fn refusal_response(refusal: &Refusal) -> Response<Body> {
     let mut response = Response::new(Body::from(error_body(refusal).to_string()));
     *response.status_mut() =
--- a/crates/ochreyard-caller/src/call.rs
+++ b/crates/ochreyard-caller/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and checked.
+//! Reads and validates callers' requests.
 
 use std::future::Future;
 
@@ -13,60 +13,60 @@
 use crate::answer::CallerReply;
 use crate::limits::CallerLimits;
 
-/// Header with the caller's key for a request that must not run twice.
+/// Header with the idempotency key of a request that must not run twice.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Header that says whether a request may run more than once.
 pub const REPEATABLE: &str = "ochreyard-repeatable";
-/// Header with the time that the caller gives, in milliseconds.
+/// Header with the request's deadline, in milliseconds from its arrival.
 pub const DEADLINE_MS: &str = "ochreyard-deadline-ms";
 
-/// Tokens of an answer when the caller names no number.
+/// Assumed tokens of an answer if the request sets no `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 256;
-/// Bytes of text that make one token, roughly.
+/// Approximate bytes of text for each token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Bytes at the start of a prompt that decide which cache it belongs to.
+/// Length of the prompt prefix by which requests with a shared cache are recognized, in bytes.
 const PREFIX_BYTES: usize = 256;
 
-/// One request, ready to be routed.
+/// A caller's request that is validated and ready to be routed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerRequest {
-    /// SHA-256 of the bearer token.
+    /// SHA-256 of the bearer token, in hexadecimal.
     pub token_sha256: String,
-    /// The service that is meant.
+    /// The requested service.
     pub service: ServiceId,
-    /// Whether it came by a path of the model services.
+    /// Whether the request came in on a path of the model API.
     pub is_model: bool,
     /// HTTP method.
     pub method: String,
-    /// Path and query for the endpoint.
+    /// Path and query to send to the endpoint.
     pub path: String,
-    /// Value of `Content-Type`; empty for none.
+    /// Value of `Content-Type`, or empty if there is none.
     pub content_type: String,
     /// The body.
     pub body: Bytes,
-    /// The caller's key.
+    /// The idempotency key, if the caller gave one.
     pub key: Option<String>,
     /// Hash of method, path and body.
     pub fingerprint: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Time that the caller gives, in milliseconds.
+    /// Deadline in milliseconds from the arrival of the request.
     pub deadline_ms: u64,
-    /// Predicted work, in tokens or calls.
+    /// Predicted cost, in tokens or calls.
     pub cost: u64,
-    /// Hash of the start of the prompt; 0 for none.
+    /// Hash of the prefix of the prompt, or 0 if there is no prompt.
     pub prefix_hash: u64,
 }
 
-/// What stands behind the callers' side.
+/// Handles the requests that the callers' routes accept.
 pub trait CallHandler: Send + Sync + 'static {
     /// Answers one request.
     fn call(&self, call: CallerRequest) -> impl Future<Output = CallerReply> + Send;
 
-    /// Whether the balancer should send requests here.
+    /// Returns whether the load balancer in front should send requests to this entry.
     fn is_ready(&self) -> bool;
 
-    /// All metrics, in the Prometheus text form.
+    /// Returns all metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 }
 
@@ -76,21 +76,22 @@
     max_tokens: Option<u64>,
 }
 
-/// Reads a request within `limits`.
+/// Reads and validates a request within `limits`.
 pub(crate) async fn read(request: Request<Body>, limits: &CallerLimits) -> Result<CallerRequest, Refusal> {
     let (parts, body) = request.into_parts();
     check_head(&parts.uri.to_string(), &parts.headers, limits)?;
     let token_sha256 = hash::sha256_hex(bearer(&parts.headers)?);
-    let key = key(&parts.headers, limits)?;
+    let key = idempotency_key(&parts.headers, limits)?;
     let deadline_ms = deadline_ms(&parts.headers, limits)?;
-    let says_repeatable = says_repeatable(&parts.headers)?;
-    let content_type = text(&parts.headers, header::CONTENT_TYPE.as_str())?.unwrap_or_default().to_owned();
+    let requested_repeatable = requested_repeatable(&parts.headers)?;
+    let content_type = header_text(&parts.headers, header::CONTENT_TYPE.as_str())?.unwrap_or_default().to_owned();
     let body = read_body(&parts.headers, body, limits).await?;
     let path_and_query = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     let is_model = matches!(parts.uri.path(), "/v1/chat/completions" | "/v1/completions");
     let target = if is_model { model_target(path_and_query, &body)? } else { plain_target(path_and_query)? };
-    let repeatable = says_repeatable.unwrap_or(is_model || parts.method == Method::GET || parts.method == Method::HEAD);
-    if key.is_some() && says_repeatable == Some(true) {
+    let repeatable =
+        requested_repeatable.unwrap_or(is_model || parts.method == Method::GET || parts.method == Method::HEAD);
+    if key.is_some() && requested_repeatable == Some(true) {
         let detail = "`Idempotency-Key` and `Ochreyard-Repeatable: true` contradict each other; send one of them";
         return Err(bad_request(detail));
     }
@@ -146,8 +147,8 @@
 }
 
 fn check_head(uri: &str, headers: &HeaderMap, limits: &CallerLimits) -> Result<(), Refusal> {
-    let of_headers: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
-    let bytes = uri.len() + of_headers;
+    let header_bytes: usize = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4).sum();
+    let bytes = uri.len() + header_bytes;
     if bytes <= limits.max_head_bytes {
         return Ok(());
     }
@@ -160,29 +161,30 @@
         let detail = format!("at most {} bytes are taken", limits.max_body_bytes);
         Refusal::new(ErrorKind::BodyTooLarge).with_detail(detail)
     };
-    let announced = text(headers, header::CONTENT_LENGTH.as_str())?.and_then(|length| length.parse::<usize>().ok());
-    if announced.is_some_and(|length| length > limits.max_body_bytes) {
+    let announced_bytes =
+        header_text(headers, header::CONTENT_LENGTH.as_str())?.and_then(|length| length.parse::<usize>().ok());
+    if announced_bytes.is_some_and(|length| length > limits.max_body_bytes) {
         return Err(too_large());
     }
     axum::body::to_bytes(body, limits.max_body_bytes).await.map_err(|error| {
-        let broke_off = announced.is_some();
-        if broke_off { bad_request(format!("the body broke off: {error}")) } else { too_large() }
+        let was_cut_off = announced_bytes.is_some();
+        if was_cut_off { bad_request(format!("the body broke off: {error}")) } else { too_large() }
     })
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Refusal> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| bad_request(format!("header `{name}` is not plain text")))
 }
 
 fn bearer(headers: &HeaderMap) -> Result<&str, Refusal> {
-    text(headers, header::AUTHORIZATION.as_str())?
+    header_text(headers, header::AUTHORIZATION.as_str())?
         .and_then(|value| value.strip_prefix("Bearer "))
         .ok_or_else(|| Refusal::new(ErrorKind::Unauthenticated))
 }
 
-fn key(headers: &HeaderMap, limits: &CallerLimits) -> Result<Option<String>, Refusal> {
-    let Some(key) = text(headers, IDEMPOTENCY_KEY)? else { return Ok(None) };
+fn idempotency_key(headers: &HeaderMap, limits: &CallerLimits) -> Result<Option<String>, Refusal> {
+    let Some(key) = header_text(headers, IDEMPOTENCY_KEY)? else { return Ok(None) };
     if key.is_empty() || key.len() > limits.max_key_bytes {
         let detail = format!("header `{IDEMPOTENCY_KEY}` must have 1 to {} bytes", limits.max_key_bytes);
         return Err(bad_request(detail));
@@ -191,16 +193,16 @@
 }
 
 fn deadline_ms(headers: &HeaderMap, limits: &CallerLimits) -> Result<u64, Refusal> {
-    let Some(value) = text(headers, DEADLINE_MS)? else { return Ok(limits.default_deadline_ms) };
-    let within = |ms: &u64| (1..=limits.max_deadline_ms).contains(ms);
-    value.parse().ok().filter(within).ok_or_else(|| {
+    let Some(value) = header_text(headers, DEADLINE_MS)? else { return Ok(limits.default_deadline_ms) };
+    let is_allowed = |ms: &u64| (1..=limits.max_deadline_ms).contains(ms);
+    value.parse().ok().filter(is_allowed).ok_or_else(|| {
         let max = limits.max_deadline_ms;
         bad_request(format!("header `{DEADLINE_MS}` must be a number of milliseconds from 1 to {max}"))
     })
 }
 
-fn says_repeatable(headers: &HeaderMap) -> Result<Option<bool>, Refusal> {
-    match text(headers, REPEATABLE)? {
+fn requested_repeatable(headers: &HeaderMap) -> Result<Option<bool>, Refusal> {
+    match header_text(headers, REPEATABLE)? {
         None => Ok(None),
         Some("true") => Ok(Some(true)),
         Some("false") => Ok(Some(false)),
--- a/crates/ochreyard-caller/src/lib.rs
+++ b/crates/ochreyard-caller/src/lib.rs
@@ -1,7 +1,6 @@
-//! Towards callers: HTTP in, one whole answer or one final refusal out.
+//! The HTTP interface for callers: each request gets one complete answer or one final refusal.
 //!
-//! This package reads requests within limits and writes answers; what happens
-//! in between is behind [`CallHandler`].
+//! This package reads requests within limits and writes answers. A [`CallHandler`] processes the requests.
 
 mod answer;
 mod call;
--- a/crates/ochreyard-caller/src/limits.rs
+++ b/crates/ochreyard-caller/src/limits.rs
@@ -1,15 +1,15 @@
-//! Bounds on what a caller may send.
+//! Limits on callers' requests.
 
-/// Bounds and defaults for callers' requests.
+/// Limits and defaults for callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head: path and headers, in bytes.
+    /// Largest size of the path and headers together, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Largest size of the body, in bytes.
     pub max_body_bytes: usize,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that sets none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// Longest deadline that a caller may ask for, in milliseconds.
+    /// Longest deadline that a caller may set, in milliseconds.
     pub max_deadline_ms: u64,
     /// Longest idempotency key, in bytes.
     pub max_key_bytes: usize,
