--- a/crates/ochreyard-endpoint/src/client.rs
+++ b/crates/ochreyard-endpoint/src/client.rs
@@ -12,37 +12,37 @@
 use crate::experts::ExpertReport;
 use crate::load::EndpointLoad;
 
-/// How long a connection may take to be made.
+/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How long small questions, such as the load, may take.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long control requests, such as the one for the load, may take.
+const CONTROL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What is sent on to the endpoint.
+/// A request that is forwarded to the endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointRequest<'a> {
     /// HTTP method.
     pub method: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Value of `Content-Type`; empty for none.
+    /// Value of `Content-Type`, or empty if there is none.
     pub content_type: &'a str,
     /// The body.
     pub body: &'a Bytes,
 }
 
-/// What the endpoint is told about a call.
+/// Information about a call that is sent to the endpoint in headers.
 #[derive(Debug, Clone, Copy)]
 pub struct CallContext<'a> {
-    /// The attempt, for the endpoint's own log.
+    /// Identifier of the attempt, for the endpoint's log.
     pub attempt: &'a str,
-    /// The workspace, so that caches are kept apart.
+    /// The workspace, by which the endpoint separates its caches.
     pub workspace: &'a str,
-    /// Whether the workspace's data may rest in the endpoint's data centre.
+    /// Whether the workspace allows its data to be stored in the endpoint's data centre.
     pub may_cache: bool,
 }
 
-/// A client of one endpoint.
+/// An HTTP client for one endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointClient {
     http: Client,
@@ -50,13 +50,13 @@
 }
 
 impl EndpointClient {
-    /// A client of the endpoint at `base_url`, for example `http://127.0.0.1:9000`.
+    /// Creates a client for the endpoint at `base_url`, for example `http://127.0.0.1:9000`.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when the client cannot be made.
+    /// Returns an [`EndpointError`] if the HTTP client cannot be created.
     pub fn new(base_url: impl Into<String>) -> Result<Self, EndpointError> {
-        // A redirect would send the request a second time, so none is followed.
+        // Following a redirect would send the request a second time.
         let http = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .redirect(reqwest::redirect::Policy::none())
@@ -67,11 +67,11 @@
         Ok(Self { http, base_url })
     }
 
-    /// Makes one call, once.
+    /// Sends a request once, without retries.
     ///
     /// # Errors
     ///
-    /// [`EndpointError::Down`] only if the endpoint cannot have had the request.
+    /// Returns [`EndpointError::Down`] only if the endpoint cannot have received the request.
     pub async fn call(
         &self,
         request: EndpointRequest<'_>,
@@ -80,7 +80,7 @@
         let method = Method::from_bytes(request.method.as_bytes()).unwrap_or(Method::POST);
         let url = format!("{}{}", self.base_url, request.path);
         let mut builder = self.http.request(method, url).body(request.body.clone());
-        builder = with_context(builder, context);
+        builder = add_context_headers(builder, context);
         if !request.content_type.is_empty() {
             builder = builder.header("content-type", request.content_type);
         }
@@ -89,49 +89,49 @@
         Ok(EndpointAnswer { status: response.status().as_u16(), content_type, response })
     }
 
-    /// Asks for the load.
+    /// Fetches the load of the endpoint.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when no load came back.
+    /// Returns an [`EndpointError`] if no load was returned.
     pub async fn load(&self) -> Result<EndpointLoad, EndpointError> {
-        let request = self.http.get(format!("{}/control/load", self.base_url)).timeout(QUESTION_TIMEOUT);
+        let request = self.http.get(format!("{}/control/load", self.base_url)).timeout(CONTROL_TIMEOUT);
         Ok(request.send().await?.error_for_status()?.json().await?)
     }
 
-    /// Asks what the group knows of its experts.
+    /// Fetches the group's report about its experts.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when no report came back.
+    /// Returns an [`EndpointError`] if no report was returned.
     pub async fn experts(&self) -> Result<ExpertReport, EndpointError> {
-        let request = self.http.get(format!("{}/control/experts", self.base_url)).timeout(QUESTION_TIMEOUT);
+        let request = self.http.get(format!("{}/control/experts", self.base_url)).timeout(CONTROL_TIMEOUT);
         Ok(request.send().await?.error_for_status()?.json().await?)
     }
 
-    /// Gives the group a placement under a number, to be staged later. May be repeated.
+    /// Sends the group a placement with the map number `map`, to be staged later. Idempotent.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when it was not taken.
+    /// Returns an [`EndpointError`] if the placement was not accepted.
     pub async fn put_map(&self, map: u64, placement: &Placement) -> Result<(), EndpointError> {
-        let request = self.http.put(format!("{}/control/maps/{map}", self.base_url)).timeout(QUESTION_TIMEOUT);
+        let request = self.http.put(format!("{}/control/maps/{map}", self.base_url)).timeout(CONTROL_TIMEOUT);
         request.json(placement).send().await?.error_for_status()?;
         Ok(())
     }
 
-    /// Gives an order to one rank.
+    /// Sends an order to one rank.
     ///
     /// # Errors
     ///
-    /// [`EndpointError`] when no reply came back: the order may have been carried out.
+    /// Returns an [`EndpointError`] if no reply was received. The order may have been carried out all the same.
     pub async fn order(&self, order: &OrderEnvelope) -> Result<RankReply, EndpointError> {
-        let request = self.http.post(format!("{}/control/orders", self.base_url)).timeout(QUESTION_TIMEOUT);
+        let request = self.http.post(format!("{}/control/orders", self.base_url)).timeout(CONTROL_TIMEOUT);
         Ok(request.json(order).send().await?.error_for_status()?.json().await?)
     }
 }
 
-fn with_context(builder: RequestBuilder, context: CallContext<'_>) -> RequestBuilder {
+fn add_context_headers(builder: RequestBuilder, context: CallContext<'_>) -> RequestBuilder {
     let cache = if context.may_cache { "keep" } else { "no-store" };
     builder
         .header("ochreyard-attempt", context.attempt)
--- a/crates/ochreyard-endpoint/src/error.rs
+++ b/crates/ochreyard-endpoint/src/error.rs
@@ -1,20 +1,20 @@
-//! What can go wrong with a call to the endpoint.
+//! Errors of calls to the endpoint.
 
 use ochreyard_core::error_kind::ErrorKind;
 
-/// Why the endpoint gave no whole answer.
+/// Why the endpoint returned no complete answer.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointError {
-    /// No connection could be made: the endpoint never had the request.
+    /// No connection could be established, so the endpoint never received the request.
     #[error("the endpoint cannot be connected to: {0}")]
     Down(#[source] reqwest::Error),
-    /// The endpoint had the request, or may have had it.
+    /// The endpoint received the request, or may have received it.
     #[error("the endpoint failed: {0}")]
     Failed(#[source] reqwest::Error),
 }
 
 impl EndpointError {
-    /// The kind in the closed list.
+    /// Returns the matching error kind.
     #[must_use]
     pub const fn kind(&self) -> ErrorKind {
         match self {
--- a/crates/ochreyard-endpoint/src/experts.rs
+++ b/crates/ochreyard-endpoint/src/experts.rs
@@ -1,17 +1,17 @@
-//! What is asked of a group besides calls.
+//! The expert statistics of a group.
 
 use ochreyard_core::rebalance::Placement;
 use serde::{Deserialize, Serialize};
 
-/// What a group says of its experts.
+/// The report of a group about its experts.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ExpertReport {
-    /// Tokens for each expert since the last report.
+    /// Tokens routed to each expert since the last report.
     pub counts: Vec<f64>,
-    /// Compute time of each rank in the last steps, in microseconds.
+    /// Compute time of each rank in the most recent steps, in microseconds.
     pub rank_times_us: Vec<f64>,
     /// The placement in use.
     pub placement: Placement,
-    /// Bytes of one expert's weights.
+    /// Size of the weights of one expert, in bytes.
     pub expert_bytes: u64,
 }
--- a/crates/ochreyard-endpoint/src/lib.rs
+++ b/crates/ochreyard-endpoint/src/lib.rs
@@ -1,7 +1,6 @@
-//! Towards model engines and plain services: calls, load, fenced orders.
+//! The interface to model engines and plain services: calls, load reports and fenced orders.
 //!
-//! Only the agent uses this package, and only for its own endpoint. The HTTP
-//! shape is recorded in `docs/endpoint.md`.
+//! Only the agent uses this package, and only for its own endpoint. The HTTP API is specified in `docs/endpoint.md`.
 
 mod answer;
 mod client;
