--- a/crates/ochreyard-entry/src/quarantine.rs
+++ b/crates/ochreyard-entry/src/quarantine.rs
@@ -38,9 +38,7 @@
     let response = call(args.peer, Request::post(RELEASE_PATH), Bytes::from(fingerprint.to_string()))?;
     match response.status() {
         StatusCode::NO_CONTENT => println!("released: {fingerprint}"),
-        StatusCode::NOT_FOUND => {
-            miette::bail!("{} has no quarantined request with fingerprint {fingerprint}", args.peer)
-        }
+        StatusCode::NOT_FOUND => miette::bail!("{} has no quarantined request {fingerprint}", args.peer),
         status => miette::bail!("{} answered {status}; is it an entry's `peer_addr`?", args.peer),
     }
     Ok(())
--- a/crates/ochreyard-operator/src/lib.rs
+++ b/crates/ochreyard-operator/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' interface: intents, plans, confirmation, status and reports.
 //!
-//! [`intent`] parses intents, [`api`] serves the operators' HTTP API of an entry, and [`OperatorClient`] calls it from the
-//! command line. [`RequestTimeline`] collects the log lines about one request.
+//! [`intent`] parses intents, [`api`] serves the operators' HTTP API of an entry, and [`OperatorClient`] calls it from
+//! the command line. [`RequestTimeline`] collects the log lines about one request.
 
 pub mod api;
 mod client;
--- a/crates/ochreyard-operator/src/timeline.rs
+++ b/crates/ochreyard-operator/src/timeline.rs
@@ -1,7 +1,8 @@
 //! What happened to one request, in order of time, from the logs of all processes.
 //!
 //! The logs are read twice: first for the lines that name the request, then for those that explain its outcome: other
-//! requests with the same fingerprint, checks of the endpoints that received it, groups that were stalled at the time.
+//! attempts of the same request (by its fingerprint), checks of the endpoints that received it, and groups that were
+//! stalled at the time.
 
 mod line;
 mod reader;
