--- a/crates/ochreyard-rank/src/agent.rs
+++ b/crates/ochreyard-rank/src/agent.rs
@@ -1,4 +1,4 @@
-//! What an agent does for whoever is granted its rank.
+//! Answers status queries and the requests of leaders for one rank.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -12,11 +12,11 @@
 use crate::message::{AgentResponse, LeaderRequest, RankStatus};
 use crate::versioned_map::VersionedMap;
 
-/// The running counts as they stood when a leader was last told.
+/// The selection totals at the time of the last response with counts, and the leader that received it.
 #[derive(Debug, Clone)]
-struct ToldCounts {
+struct ReportedTotals {
     leader: LeaderId,
-    counts: SelectionTotals,
+    totals: SelectionTotals,
 }
 
 /// The agent of one rank.
@@ -25,13 +25,14 @@
     engine_addr: SocketAddr,
     clock: Clock,
     grant: RefCell<LeaderGrant>,
-    told_counts: RefCell<Option<ToldCounts>>,
+    reported_totals: RefCell<Option<ReportedTotals>>,
     known_map: RefCell<Option<VersionedMap>>,
     is_reachable: Cell<bool>,
 }
 
 impl<E: RankEngine> Agent<E> {
-    /// An agent that starts now. It grants nothing for longer than `lease_ms`.
+    /// Creates an agent that starts now: it grants nothing for the first `lease_ms`, and no lease
+    /// longer than that.
     pub fn new(engine: E, engine_addr: SocketAddr, lease_ms: u64, clock: Clock) -> Rc<Self> {
         let grant = RefCell::new(LeaderGrant::new(lease_ms, clock.now_ms()));
         Rc::new(Self {
@@ -39,54 +40,58 @@
             engine_addr,
             clock,
             grant,
-            told_counts: RefCell::new(None),
+            reported_totals: RefCell::new(None),
             known_map: RefCell::new(None),
             is_reachable: Cell::new(true),
         })
     }
 
-    /// What it sees, for anybody who asks.
-    pub async fn looked(&self) -> RankStatus {
-        let view = self.look().await;
+    /// Returns the status of the rank and the holder of the grant.
+    pub async fn status(&self) -> RankStatus {
+        let view = self.read_view().await;
         let holder = self.grant.borrow().holder(self.clock.now_ms()).copied();
         RankStatus { view, holder }
     }
 
-    async fn look(&self) -> Option<RankView> {
-        self.noted(self.engine.view().await)
+    async fn read_view(&self) -> Option<RankView> {
+        self.track_reachability(self.engine.view().await)
     }
 
-    /// Answers a leader: grants or refuses, carries out its orders, and tells of the rank.
-    pub async fn answer(&self, ask: &LeaderRequest) -> AgentResponse {
-        if ask.releases_grant {
-            self.grant.borrow_mut().release(&ask.leader);
+    /// Handles a request of a leader: grants or refuses the lease, carries out the orders while the
+    /// leader holds it, and returns the requested state of the rank.
+    pub async fn handle_request(&self, request: &LeaderRequest) -> AgentResponse {
+        if request.releases_grant {
+            self.grant.borrow_mut().release(&request.leader);
             return AgentResponse::default();
         }
         let now_ms = self.clock.now_ms();
-        let granted = self.grant.borrow_mut().try_grant(&ask.leader, ask.lease_ms, now_ms);
+        let granted = self.grant.borrow_mut().try_grant(&request.leader, request.lease_ms, now_ms);
         let holder = self.grant.borrow().holder(now_ms).filter(|_| !granted).copied();
-        let outcomes = if granted { self.carry_out(ask).await } else { Vec::new() };
-        let view = self.look().await;
-        let selection_counts = if ask.wants_counts { self.chosen_for(&ask.leader).await } else { None };
-        let held_experts = if ask.wants_held_experts { self.noted(self.engine.held_experts().await) } else { None };
+        let outcomes = if granted { self.carry_out(request).await } else { Vec::new() };
+        let view = self.read_view().await;
+        let selection_counts =
+            if request.wants_counts { self.selection_counts_for(&request.leader).await } else { None };
+        let held_experts =
+            if request.wants_held_experts { self.track_reachability(self.engine.held_experts().await) } else { None };
         let known_map_version = self.known_map.borrow().as_ref().map(|known| known.version);
         AgentResponse { granted, holder, view, known_map_version, outcomes, selection_counts, held_experts }
     }
 
-    /// What the rank has chosen since `leader` was last told.
-    async fn chosen_for(&self, leader: &LeaderId) -> Option<SelectionCounts> {
-        let counts = self.noted(self.engine.selection_totals().await)?;
-        let told = ToldCounts { leader: *leader, counts };
-        let before = self.told_counts.replace(Some(told.clone())).filter(|before| before.leader == *leader)?;
-        Some(SelectionCounts::new(&told.counts.since(&before.counts)))
+    /// The selections since the last counts that were returned to `leader`; `None` if the last ones
+    /// were returned to another leader.
+    async fn selection_counts_for(&self, leader: &LeaderId) -> Option<SelectionCounts> {
+        let totals = self.track_reachability(self.engine.selection_totals().await)?;
+        let current = ReportedTotals { leader: *leader, totals };
+        let before = self.reported_totals.replace(Some(current.clone())).filter(|before| before.leader == *leader)?;
+        Some(SelectionCounts::new(&current.totals.since(&before.totals)))
     }
 
-    async fn carry_out(&self, ask: &LeaderRequest) -> Vec<OrderOutcome> {
-        let mut outcomes = Vec::with_capacity(ask.orders.len());
-        for order in &ask.orders {
-            // A process may have stood still since the grant was looked at.
-            let is_granted = self.grant.borrow().holder(self.clock.now_ms()) == Some(&ask.leader);
-            let order = self.with_map(order, ask).filter(|_| is_granted);
+    async fn carry_out(&self, request: &LeaderRequest) -> Vec<OrderOutcome> {
+        let mut outcomes = Vec::with_capacity(request.orders.len());
+        for order in &request.orders {
+            // The process may have been suspended since the grant was checked, and the lease may have expired.
+            let is_granted = self.grant.borrow().holder(self.clock.now_ms()) == Some(&request.leader);
+            let order = self.expand_map(order, request).filter(|_| is_granted);
             outcomes.push(match order {
                 Some(order) => self.engine.order(&order).await,
                 None => OrderOutcome::Unknown,
@@ -95,23 +100,24 @@
         outcomes
     }
 
-    /// An order with its whole map, which it may only hold as a change of one that is
-    /// known here; `None` where it is not.
-    fn with_map<'a>(&self, sent: &'a SentOrder, ask: &LeaderRequest) -> Option<Cow<'a, SentOrder>> {
+    /// Returns the order with its complete map. If the request carries the map as a delta, applies it to the
+    /// known map; `None` if the delta does not fit that map.
+    fn expand_map<'a>(&self, sent: &'a SentOrder, request: &LeaderRequest) -> Option<Cow<'a, SentOrder>> {
         let Order::Prepare { version, map } = &sent.order else { return Some(Cow::Borrowed(sent)) };
         let mut known = self.known_map.borrow_mut();
-        let Some(change) = &ask.map_delta else {
+        let Some(delta) = &request.map_delta else {
             known.replace(VersionedMap { version: *version, experts: map.clone() });
             return Some(Cow::Borrowed(sent));
         };
-        let base = known.as_ref().filter(|known| known.version == change.base)?;
-        let experts = change.apply(&base.experts)?;
+        let base = known.as_ref().filter(|known| known.version == delta.base)?;
+        let experts = delta.apply(&base.experts)?;
         known.replace(VersionedMap { version: *version, experts: experts.clone() });
         let order = Order::Prepare { version: *version, map: experts };
         Some(Cow::Owned(SentOrder { order, ..sent.clone() }))
     }
 
-    fn noted<T>(&self, result: Result<T, EngineError>) -> Option<T> {
+    /// Logs when the engine becomes unreachable or reachable again, and discards the error.
+    fn track_reachability<T>(&self, result: Result<T, EngineError>) -> Option<T> {
         let was_reachable = self.is_reachable.replace(result.is_ok());
         match result {
             Ok(value) => {
--- a/crates/ochreyard-rank/src/engine.rs
+++ b/crates/ochreyard-rank/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine of a rank, as an agent uses it.
+//! The interface to the engine of a rank.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -6,72 +6,72 @@
 use ochreyard_core::group_map::{OrderOutcome, RankView, SentOrder, selections_between};
 use serde::{Deserialize, Serialize};
 
-/// Why an engine told nothing.
+/// Why a reading from an engine failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum EngineError {
-    /// It gave no whole answer.
+    /// The engine gave no complete answer.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// Its answer cannot be read.
+    /// The answer of the engine cannot be decoded.
     #[error("unreadable answer: {0}")]
     Unreadable(String),
-    /// It belongs to no group.
+    /// The engine belongs to no group.
     #[error("the engine belongs to no group")]
     NoGroup,
 }
 
-/// How often a rank's requests have chosen each expert since its start, set by set.
+/// How often a rank's requests have selected each expert since the engine started.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SelectionTotals {
-    /// The epoch of the group.
+    /// The epoch of the group at the time of the reading.
     pub epoch: u64,
-    /// When this life of the engine started; 0 where it does not tell.
+    /// Start time of this incarnation of the engine, in milliseconds; 0 if the engine does not report it.
     pub started_ms: u64,
-    /// The counts.
+    /// Cumulative selection counts by set and expert.
     pub counts: Vec<u64>,
 }
 
 impl SelectionTotals {
-    /// What was chosen since `before`. An engine that started again counts from zero, even where it
-    /// has passed the former counts by now.
+    /// Returns the selections since the reading `before`. After a restart the engine counts from zero, so all
+    /// selections are new, even if the counts exceed those of `before` by now.
     #[must_use]
     pub fn since(&self, before: &Self) -> Vec<u64> {
-        let is_same_life = self.started_ms == before.started_ms;
-        selections_between(if is_same_life { &before.counts } else { &[] }, &self.counts)
+        let is_same_incarnation = self.started_ms == before.started_ms;
+        selections_between(if is_same_incarnation { &before.counts } else { &[] }, &self.counts)
     }
 }
 
-/// The experts that a rank holds, by set, under the map in use.
+/// The experts that a rank holds under the map in use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct HeldExperts {
-    /// The epoch of the group.
+    /// The epoch of the group at the time of the reading.
     pub epoch: u64,
-    /// The number of the map.
+    /// The version of the map in use.
     pub version: u64,
-    /// The experts by set.
+    /// The held experts by set.
     pub experts: Vec<Vec<u16>>,
 }
 
-/// One engine.
+/// A client for the engine of one rank.
 pub trait RankEngine: 'static {
-    /// Its fresh report.
+    /// Reads the current view of the rank.
     fn view(&self) -> impl Future<Output = Result<RankView, EngineError>>;
 
-    /// Its running counts.
+    /// Reads the cumulative selection counts.
     fn selection_totals(&self) -> impl Future<Output = Result<SelectionTotals, EngineError>>;
 
-    /// What it holds.
+    /// Reads the experts that the rank holds.
     fn held_experts(&self) -> impl Future<Output = Result<HeldExperts, EngineError>>;
 
-    /// Gives it an order.
+    /// Sends an order to the engine and returns its outcome.
     fn order(&self, order: &SentOrder) -> impl Future<Output = OrderOutcome>;
 }
 
-/// Makes clients for engines.
+/// Creates clients for engines.
 pub trait EngineFactory: Clone + 'static {
-    /// The client.
+    /// The type of the clients.
     type Engine: RankEngine;
 
-    /// A client for the engine at `addr`.
+    /// Creates a client for the engine at `addr`.
     fn client_at(&self, addr: SocketAddr) -> Self::Engine;
 }
--- a/crates/ochreyard-rank/src/fields.rs
+++ b/crates/ochreyard-rank/src/fields.rs
@@ -1,8 +1,8 @@
-//! The table of settings of the agent of a rank.
+//! The settings of the agent of a rank.
 
 use ochreyard_process::{FieldKind, FieldSpec, LOG_LEVEL, LOG_LINES_PER_S, LOG_TARGET};
 
-/// Every field.
+/// All settings of the agent.
 pub const FIELDS: &[FieldSpec] = &[
     FieldSpec { name: "agent", kind: FieldKind::Name, default: None, about: "name of this box" },
     FieldSpec { name: "engine_addr", kind: FieldKind::Addr, default: None, about: "the engine on this box" },
--- a/crates/ochreyard-rank/src/lib.rs
+++ b/crates/ochreyard-rank/src/lib.rs
@@ -1,9 +1,10 @@
-//! The agent beside one rank of a group.
+//! The agent that runs on the same box as one rank of a group.
 //!
-//! Reading its own engine and giving it orders is free for an agent, and dear
-//! for everybody else. So the leader of a group, an entry, asks each agent for its
-//! rank's view and counts, and gives its orders through the agents. An agent obeys
-//! one leader at a time; what is decided is in [`ochreyard_core::group_map`].
+//! Calls to the rank's engine are cheap for its agent and expensive for all other
+//! processes. The leader of a group, which is an entry, therefore reads the view and the
+//! selection counts of each rank from its agent and sends most orders through the agents. An
+//! agent accepts orders from one leader at a time. The decisions are made in
+//! [`ochreyard_core::group_map`].
 
 mod agent;
 mod engine;
--- a/crates/ochreyard-rank/src/serve.rs
+++ b/crates/ochreyard-rank/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs the agent of a rank until its planned stop.
+//! Runs the agent of a rank until it receives a stop signal.
 
 use std::rc::Rc;
 
@@ -11,28 +11,30 @@
 use crate::engine::EngineFactory;
 use crate::server;
 
-/// Runs the agent on one thread.
+/// Runs the agent on the current thread until it receives a stop signal.
 ///
 /// # Errors
 ///
-/// When the address cannot be bound.
-pub fn run<S: EngineFactory>(settings: &Settings, engines: &S) -> Result<()> {
+/// Returns an error if logging, the runtime or the signal handlers cannot be set up, or if
+/// `peer_addr` cannot be bound.
+pub fn run<F: EngineFactory>(settings: &Settings, engine_factory: &F) -> Result<()> {
     start_logging(settings).into_diagnostic()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().into_diagnostic()?;
-    tokio::task::LocalSet::new().block_on(&runtime, serve(settings, engines))
+    tokio::task::LocalSet::new().block_on(&runtime, serve(settings, engine_factory))
 }
 
-async fn serve<S: EngineFactory>(settings: &Settings, engines: &S) -> Result<()> {
+async fn serve<F: EngineFactory>(settings: &Settings, engine_factory: &F) -> Result<()> {
     let (engine_addr, peer_addr) = (settings.addr("engine_addr"), settings.addr("peer_addr"));
-    let life = new_life(settings.text("agent"));
-    log::info!("event=agent_started agent={} life={life} engine={engine_addr}", settings.text("agent"));
-    let agent = Agent::new(engines.client_at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
+    let incarnation = new_life(settings.text("agent"));
+    log::info!("event=agent_started agent={} life={incarnation} engine={engine_addr}", settings.text("agent"));
+    let agent =
+        Agent::new(engine_factory.client_at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
     let problem = || format!("field `peer_addr`: {peer_addr} cannot be bound; choose a free address");
     let listener = TcpListener::bind(peer_addr).await.into_diagnostic().wrap_err_with(problem)?;
     tokio::task::spawn_local(server::serve(Rc::clone(&agent), listener));
     let mut hangup = signal(SignalKind::hangup()).into_diagnostic()?;
     tokio::select! {
-        stopped = stop_signal() => stopped.into_diagnostic()?,
+        result = stop_signal() => result.into_diagnostic()?,
         () = async { while hangup.recv().await.is_some() { log::info!("event=reload_noted"); } } => {}
     }
     log::info!("event=agent_stopped");
--- a/crates/ochreyard-rank/src/server.rs
+++ b/crates/ochreyard-rank/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers leaders.
+//! The HTTP server of the agent.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -19,12 +19,12 @@
 use crate::engine::RankEngine;
 use crate::message::{LeaderRequest, RANK_PATH};
 
-/// Largest question: a map of a large group, in JSON.
-const MAX_ASK_BYTES: usize = 1 << 20;
+/// Size limit of a leader's request: it may contain the map of a large group in JSON.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers until the process ends.
+/// Accepts connections and serves requests until the process ends.
 pub async fn serve<E: RankEngine>(agent: Rc<Agent<E>>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -38,7 +38,7 @@
             }
             let service = service_fn(move |request| {
                 let agent = Rc::clone(&agent);
-                async move { Ok::<_, Infallible>(answer(&agent, request).await) }
+                async move { Ok::<_, Infallible>(handle(&agent, request).await) }
             });
             if let Err(error) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
                 log::debug!("event=leader_connection_ended error=\"{error}\"");
@@ -47,33 +47,33 @@
     }
 }
 
-async fn answer<E: RankEngine>(agent: &Agent<E>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle<E: RankEngine>(agent: &Agent<E>, request: Request<Incoming>) -> Response<Full<Bytes>> {
     if request.uri().path() != RANK_PATH {
         return status_only(StatusCode::NOT_FOUND);
     }
     match *request.method() {
-        Method::GET => json(&agent.looked().await),
-        Method::POST => answer_leader(agent, request).await,
+        Method::GET => json_response(&agent.status().await),
+        Method::POST => handle_leader_request(agent, request).await,
         _ => status_only(StatusCode::METHOD_NOT_ALLOWED),
     }
 }
 
-async fn answer_leader<E: RankEngine>(agent: &Agent<E>, request: Request<Incoming>) -> Response<Full<Bytes>> {
-    let Ok(body) = Limited::new(request.into_body(), MAX_ASK_BYTES).collect().await else {
+async fn handle_leader_request<E: RankEngine>(agent: &Agent<E>, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    let Ok(body) = Limited::new(request.into_body(), MAX_REQUEST_BYTES).collect().await else {
         return status_only(StatusCode::BAD_REQUEST);
     };
-    let ask: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
-        Ok(ask) => ask,
+    let request: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
+        Ok(request) => request,
         Err(error) => {
             log::warn!("event=ask_unreadable error=\"{error}\"");
             return status_only(StatusCode::BAD_REQUEST);
         }
     };
-    json(&agent.answer(&ask).await)
+    json_response(&agent.handle_request(&request).await)
 }
 
-fn json<T: Serialize>(answer: &T) -> Response<Full<Bytes>> {
-    match serde_json::to_vec(answer) {
+fn json_response<T: Serialize>(body: &T) -> Response<Full<Bytes>> {
+    match serde_json::to_vec(body) {
         Ok(bytes) => Response::new(Full::from(bytes)),
         Err(error) => {
             log::error!("event=answer_unwritable error=\"{error}\"");
--- a/crates/ochreyard-rank/src/versioned_map.rs
+++ b/crates/ochreyard-rank/src/versioned_map.rs
@@ -1,12 +1,12 @@
-//! A map of a group as an agent or a leader remembers it.
+//! The expert map that an agent or a leader remembers, with its version.
 
 use ochreyard_core::group_map::ExpertMap;
 
-/// A map and its number.
+/// An expert map and its version.
 #[derive(Debug, Clone)]
 pub struct VersionedMap {
-    /// Its number.
+    /// The version of the map.
     pub version: u64,
-    /// Its experts by set and rank.
+    /// The experts by set and rank.
     pub experts: ExpertMap,
 }
--- a/crates/ochreyard-rank/tests/counts.rs
+++ b/crates/ochreyard-rank/tests/counts.rs
@@ -1,18 +1,18 @@
-//! What a rank has chosen between two readings of its counts.
+//! The selections between two readings of an engine's cumulative counts.
 
 use ochreyard_rank::SelectionTotals;
 use rstest::rstest;
 
 #[rstest]
-#[case::the_same_life(5, &[10, 4], &[12, 9], &[2, 5])]
-#[case::started_again_and_fewer_by_now(6, &[10, 4], &[3, 1], &[3, 1])]
-#[case::started_again_and_more_by_now(6, &[10, 4], &[12, 9], &[12, 9])]
-fn counts_of_a_life_before_are_not_taken_off(
+#[case::same_incarnation(5, &[10, 4], &[12, 9], &[2, 5])]
+#[case::restarted_with_lower_counts(6, &[10, 4], &[3, 1], &[3, 1])]
+#[case::restarted_with_higher_counts(6, &[10, 4], &[12, 9], &[12, 9])]
+fn counts_of_an_earlier_incarnation_are_not_subtracted(
     #[case] started_ms: u64,
     #[case] before: &[u64],
     #[case] now: &[u64],
-    #[case] since: &[u64],
+    #[case] expected: &[u64],
 ) {
-    let counts = |started_ms, counts: &[u64]| SelectionTotals { epoch: 1, started_ms, counts: counts.to_vec() };
-    assert_eq!(counts(started_ms, now).since(&counts(5, before)), since);
+    let totals = |started_ms, counts: &[u64]| SelectionTotals { epoch: 1, started_ms, counts: counts.to_vec() };
+    assert_eq!(totals(started_ms, now).since(&totals(5, before)), expected);
 }
--- a/crates/ochreyard-rank/tests/message_size.rs
+++ b/crates/ochreyard-rank/tests/message_size.rs
@@ -1,19 +1,20 @@
-//! What a round of a leader carries: links of a few megabits a second bind first.
+//! The size of the messages in a leader's polling round: links of a few megabits a second are the
+//! first bottleneck.
 
 use ochreyard_core::group_map::{LeaderId, RankView, SelectionCounts};
 use ochreyard_rank::{AgentResponse, LeaderRequest};
 use rstest::rstest;
 
-/// Most ranks whose counts are asked for.
-const COUNTED_RANKS: usize = 12;
-/// What one exchange takes beside its bodies: heads of request and answer, and of four segments.
-const HEAD_BYTES: usize = 400;
-/// Rounds a second while nothing changes.
+/// Most ranks whose selection counts a leader requests in a round.
+const MAX_SAMPLED_RANKS: usize = 12;
+/// Overhead of one exchange beyond the bodies: the heads of the request, the response and four TCP segments.
+const OVERHEAD_BYTES: usize = 400;
+/// Polling rounds per second while no map change is in progress.
 const ROUNDS_PER_S: usize = 10;
-/// What a link of 40 megabits carries in a second.
+/// Capacity of a link of 40 megabits a second.
 const LINK_BYTES_PER_S: usize = 5_000_000;
 
-fn ask() -> LeaderRequest {
+fn request() -> LeaderRequest {
     LeaderRequest {
         leader: LeaderId { life: u64::MAX },
         lease_ms: 800,
@@ -25,7 +26,7 @@
     }
 }
 
-fn told(chosen: Option<SelectionCounts>) -> AgentResponse {
+fn response(selection_counts: Option<SelectionCounts>) -> AgentResponse {
     let view = RankView {
         group: "g0-0".into(),
         rank: 95,
@@ -43,27 +44,27 @@
         granted: true,
         view: Some(view),
         known_map_version: Some(1 << 40),
-        selection_counts: chosen,
+        selection_counts,
         ..AgentResponse::default()
     }
 }
 
-fn bytes<T: serde::Serialize>(message: &T) -> usize {
+fn json_bytes<T: serde::Serialize>(message: &T) -> usize {
     serde_json::to_vec(message).unwrap().len()
 }
 
-/// Bytes of one calm round, both ways, for a group with so many counts a rank.
+/// Bytes in both directions of one round without a map change, in a group with `counts` selection counts per rank.
 fn round_bytes(ranks: usize, counts: usize) -> usize {
-    let plain = bytes(&ask()) + bytes(&told(None)) + HEAD_BYTES;
-    let chosen: Vec<u64> = (0..counts as u64).collect();
-    let counted = bytes(&told(Some(SelectionCounts::new(&chosen)))) - bytes(&told(None));
-    ranks * plain + COUNTED_RANKS.min(ranks) * counted
+    let plain_bytes = json_bytes(&request()) + json_bytes(&response(None)) + OVERHEAD_BYTES;
+    let selections: Vec<u64> = (0..counts as u64).collect();
+    let counts_bytes = json_bytes(&response(Some(SelectionCounts::new(&selections)))) - json_bytes(&response(None));
+    ranks * plain_bytes + MAX_SAMPLED_RANKS.min(ranks) * counts_bytes
 }
 
 #[test]
-fn a_calm_exchange_takes_a_few_hundred_bytes() {
-    assert!(bytes(&ask()) < 80, "{}", bytes(&ask()));
-    assert!(bytes(&told(None)) < 260, "{}", bytes(&told(None)));
+fn an_exchange_without_counts_takes_a_few_hundred_bytes() {
+    assert!(json_bytes(&request()) < 80, "{}", json_bytes(&request()));
+    assert!(json_bytes(&response(None)) < 260, "{}", json_bytes(&response(None)));
 }
 
 #[rstest]
@@ -71,24 +72,27 @@
 #[case::of_24(24, 16 * 96)]
 #[case::of_96(96, 16 * 192)]
 #[case::of_384(384, 16 * 192)]
-fn calm_rounds_take_less_than_two_thirds_of_a_link_of_40_megabits(#[case] ranks: usize, #[case] counts: usize) {
-    let share = round_bytes(ranks, counts) * ROUNDS_PER_S * 100 / LINK_BYTES_PER_S;
-    assert!(share < 67, "{share} in 100 of the link, {} bytes a round", round_bytes(ranks, counts));
+fn rounds_without_changes_take_less_than_two_thirds_of_a_link_of_40_megabits(
+    #[case] ranks: usize,
+    #[case] counts: usize,
+) {
+    let share_percent = round_bytes(ranks, counts) * ROUNDS_PER_S * 100 / LINK_BYTES_PER_S;
+    assert!(share_percent < 67, "{share_percent} % of the link, {} bytes per round", round_bytes(ranks, counts));
 }
 
 #[test]
-fn counts_are_asked_of_no_more_ranks_in_a_larger_group() {
-    let more = round_bytes(384, 16 * 192) - round_bytes(96, 16 * 192);
-    let plain = bytes(&ask()) + bytes(&told(None)) + HEAD_BYTES;
-    assert_eq!(more, 288 * plain, "ranks beyond the counted ones cost a calm exchange each");
+fn a_larger_group_does_not_increase_the_number_of_sampled_ranks() {
+    let additional_bytes = round_bytes(384, 16 * 192) - round_bytes(96, 16 * 192);
+    let plain_bytes = json_bytes(&request()) + json_bytes(&response(None)) + OVERHEAD_BYTES;
+    assert_eq!(additional_bytes, 288 * plain_bytes, "each rank that is not sampled costs one exchange without counts");
 }
 
-/// Every message says the same after it was written and read.
+/// A message has the same content after it is serialized and deserialized.
 #[test]
-fn fields_that_are_left_out_are_read_as_nothing() {
-    let told = told(None);
-    let read: AgentResponse = serde_json::from_slice(&serde_json::to_vec(&told).unwrap()).unwrap();
-    assert_eq!(read.view, told.view);
-    let read: LeaderRequest = serde_json::from_slice(&serde_json::to_vec(&ask()).unwrap()).unwrap();
+fn omitted_fields_are_read_as_defaults() {
+    let response = response(None);
+    let read: AgentResponse = serde_json::from_slice(&serde_json::to_vec(&response).unwrap()).unwrap();
+    assert_eq!(read.view, response.view);
+    let read: LeaderRequest = serde_json::from_slice(&serde_json::to_vec(&request()).unwrap()).unwrap();
     assert!(read.wants_counts && !read.wants_held_experts && !read.releases_grant && read.orders.is_empty());
 }
