--- a/crates/ochreyard-lead/src/fields.rs
+++ b/crates/ochreyard-lead/src/fields.rs
@@ -2,7 +2,7 @@
 
 use ochreyard_process::{FieldKind, FieldSpec};
 
-/// Every field.
+/// All settings of an entry as a leader of groups.
 pub const FIELDS: &[FieldSpec] = &[
     FieldSpec {
         name: "lease_ms",
--- /dev/null
+++ b/crates/ochreyard-lead/src/group_reporter.rs
@@ -0,0 +1,72 @@
+//! Reports the state of a group to all entries.
+
+use std::rc::Rc;
+
+use ochreyard_core::direct::{GroupUpdate, RosterLoads};
+use ochreyard_direct::{Dialect, Entry, broadcast};
+
+/// Interval between reports while nothing changes, in milliseconds: entries receive a few reports
+/// within the time for which they consider one valid.
+const REPORT_INTERVAL_MS: u64 = 300;
+/// Interval between reports with the names of the ranks, in milliseconds: some entries may have
+/// missed the last one.
+const NAMES_INTERVAL_MS: u64 = 3_000;
+
+/// Reports the state of one group to all entries.
+pub struct GroupReporter<D> {
+    entry: Rc<Entry<D>>,
+    reported_ms: u64,
+    reported_serving: Option<bool>,
+    last_names: Option<NamesReport>,
+}
+
+/// The last report with the names of the ranks.
+struct NamesReport {
+    sent_ms: u64,
+    roster_digest: u64,
+    /// Number of box records that the entry had learned by then.
+    learned_boxes: usize,
+}
+
+impl<D: Dialect> GroupReporter<D> {
+    /// Creates a reporter that has sent no report yet.
+    pub const fn new(entry: Rc<Entry<D>>) -> Self {
+        Self { entry, reported_ms: 0, reported_serving: None, last_names: None }
+    }
+
+    /// Whether a report is due.
+    pub fn is_due(&self, is_serving: bool, now_ms: u64) -> bool {
+        self.reported_serving != Some(is_serving) || now_ms >= self.reported_ms + REPORT_INTERVAL_MS
+    }
+
+    /// Sends the update to all entries without waiting for them. Returns whether `is_serving` differs
+    /// from the last report.
+    pub fn report(&mut self, update: &GroupUpdate) -> bool {
+        self.reported_ms = self.entry.clock.now_ms();
+        let is_change = self.reported_serving.replace(update.is_serving) != Some(update.is_serving);
+        self.entry.apply_group_update(update);
+        if is_change || self.must_include_names(update) {
+            broadcast(&self.entry, update);
+        } else {
+            broadcast(&self.entry, &update.without_names());
+        }
+        is_change
+    }
+
+    /// Whether the update must include the names of the ranks; if so, records them as sent.
+    fn must_include_names(&mut self, update: &GroupUpdate) -> bool {
+        let sent_ms = self.reported_ms;
+        let roster_digest = RosterLoads::of(&update.ranks).roster;
+        let learned_boxes = self.entry.state.borrow().boxes.learned_count();
+        let is_current = |last: &NamesReport| {
+            last.roster_digest == roster_digest
+                && last.learned_boxes == learned_boxes
+                && sent_ms < last.sent_ms + NAMES_INTERVAL_MS
+        };
+        if self.last_names.as_ref().is_some_and(is_current) {
+            return false;
+        }
+        self.last_names = Some(NamesReport { sent_ms, roster_digest, learned_boxes });
+        true
+    }
+}
--- a/crates/ochreyard-lead/src/leader.rs
+++ b/crates/ochreyard-lead/src/leader.rs
@@ -1,11 +1,11 @@
-//! Leads a group while most of its agents grant it.
+//! Leads a group while a majority of its agents grants the leadership.
 
 mod decision;
-mod entry_news;
-mod finding;
+mod discovery;
 mod hold_rank;
 mod observation;
 mod proposal;
+mod reporting;
 mod round;
 
 use std::rc::Rc;
@@ -20,106 +20,112 @@
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_rank::{EngineFactory, LeaderRequest};
 
-use self::finding::Finding;
+use self::discovery::Discovery;
+use crate::group_reporter::GroupReporter;
 use crate::members::Members;
-use crate::pace_note::PaceNote;
-use crate::questions::ask_agent;
-use crate::sent_maps::SentMaps;
+use crate::pace_log::PaceLog;
+use crate::rank_requests::send_to_agent;
+use crate::sent_map::SentMap;
 use crate::settings::LeaderSettings;
 use crate::step_progress::StepProgress;
-use crate::teller::Teller;
 
-/// Pause between looks at a group that cannot be led from here, because too few of its
-/// agents are reached.
+/// Pause between observations of a group that this entry cannot lead because it reaches too few of
+/// its agents.
 const OBSERVE_PAUSE: Duration = Duration::from_millis(300);
-/// Looks at such a group before another entry may try.
-const OBSERVED_ROUNDS: u32 = 10;
+/// Maximum number of observations of such a group before another entry may attempt to lead it.
+const MAX_OBSERVATIONS: u32 = 10;
 
-/// Leads one group, for one time.
-pub struct Leader<D, S> {
+/// Leads one group for one term.
+pub struct Leader<D, F> {
     entry: Rc<Entry<D>>,
-    engines: S,
+    engine_factory: F,
     service: String,
     settings: LeaderSettings,
-    /// Another one each time: then no number of a map is used twice.
-    me: LeaderId,
+    /// A new identifier for each term, so that no version of a map is used twice.
+    id: LeaderId,
     leadership: Leadership,
     controller: MapController,
     members: Members,
-    finding: Finding,
-    sent_maps: SentMaps,
-    teller: Teller<D>,
+    discovery: Discovery,
+    sent_map: SentMap,
+    reporter: GroupReporter<D>,
     progress: StepProgress,
     mean_skew: MeanSkew,
-    pace_note: PaceNote,
+    pace_log: PaceLog,
     is_serving: bool,
     demand: Option<Demand>,
-    counts_asked_ms: u64,
-    /// Whether the demand has shifted since the change under way was planned.
-    is_outdated: bool,
+    counts_requested_ms: u64,
+    /// Whether the demand has shifted since the change in progress was planned.
+    is_change_outdated: bool,
     shift_times: ShiftResponseTimes,
     arming_times: ArmingTimes,
-    pending: Vec<(usize, SentOrder)>,
+    pending_orders: Vec<(usize, SentOrder)>,
     last_round: Round,
-    busy_noted_ms: u64,
-    /// How long the last search for a map took.
+    wait_logged_ms: u64,
+    /// Duration of the last search for a map, in milliseconds.
     search_ms: u64,
 }
 
-impl<D: Dialect, S: EngineFactory> Leader<D, S> {
-    /// A leader that has asked nobody yet.
-    pub fn new(entry: Rc<Entry<D>>, engines: S, service: &str, members: Members, settings: LeaderSettings) -> Self {
-        let me = LeaderId { life: entry.next_random() };
-        // Any rank will do; leaders that follow each other take different ones.
-        let hold_rank = usize::try_from(me.life % members.size.max(1) as u64).unwrap_or(0);
+impl<D: Dialect, F: EngineFactory> Leader<D, F> {
+    /// Creates a leader that has not sent any request yet.
+    pub fn new(
+        entry: Rc<Entry<D>>,
+        engine_factory: F,
+        service: &str,
+        members: Members,
+        settings: LeaderSettings,
+    ) -> Self {
+        let id = LeaderId { life: entry.next_random() };
+        // Any rank can be the hold rank; successive leaders usually choose different ones.
+        let hold_rank = usize::try_from(id.life % members.size.max(1) as u64).unwrap_or(0);
         Self {
-            teller: Teller::new(Rc::clone(&entry)),
+            reporter: GroupReporter::new(Rc::clone(&entry)),
             entry,
-            engines,
+            engine_factory,
             service: service.to_owned(),
             settings,
-            me,
+            id,
             leadership: Leadership::new(settings.lease_ms),
-            controller: MapController::new(MapControllerSettings::default(), hold_rank, me.life),
+            controller: MapController::new(MapControllerSettings::default(), hold_rank, id.life),
             members,
-            finding: Finding::default(),
-            sent_maps: SentMaps::default(),
+            discovery: Discovery::default(),
+            sent_map: SentMap::default(),
             progress: StepProgress::default(),
             mean_skew: MeanSkew::default(),
-            pace_note: PaceNote::default(),
+            pace_log: PaceLog::default(),
             is_serving: true,
             demand: None,
-            counts_asked_ms: 0,
-            is_outdated: false,
+            counts_requested_ms: 0,
+            is_change_outdated: false,
             shift_times: ShiftResponseTimes::default(),
             arming_times: ArmingTimes::default(),
-            pending: Vec::new(),
+            pending_orders: Vec::new(),
             last_round: Round::default(),
-            busy_noted_ms: 0,
+            wait_logged_ms: 0,
             search_ms: 0,
         }
     }
 
-    /// Leads until most agents no longer grant it. Where too few are reached, tells the
-    /// entries that are what they show, and waits for more. Says whether this box has
-    /// turned out too slow to lead.
+    /// Leads until a majority of the agents no longer grants it. If too few agents are reached, reports what
+    /// they show to the entries and waits for more of them. Returns whether this box has turned out to
+    /// be too slow to lead.
     pub async fn run(mut self) -> bool {
         let mut reached = self.members.len();
-        for _ in 0..OBSERVED_ROUNDS {
+        for _ in 0..MAX_OBSERVATIONS {
             if reached * 2 > self.members.size {
                 self.lead().await;
                 self.stand_down().await;
                 return self.is_too_slow();
             }
-            let Some(seen) = self.observe().await else { break };
-            reached = seen;
+            let Some(observed) = self.observe().await else { break };
+            reached = observed;
             tokio::time::sleep(OBSERVE_PAUSE).await;
         }
         false
     }
 
-    /// Whether the last search took longer than the agents wait for a word of their leader:
-    /// boxes turn slow for seconds, and another one searches while this one would be missed.
+    /// Whether the last search for a map took longer than the lease. Boxes become slow for seconds at a time,
+    /// and the grants of a slow one would expire during its next search: another entry leads instead.
     const fn is_too_slow(&self) -> bool {
         self.search_ms > self.settings.lease_ms
     }
@@ -128,20 +134,20 @@
         self.entry.clock.now_ms()
     }
 
-    /// Leads until most agents no longer grant it, or this entry stops.
+    /// Leads until a majority of the agents no longer grants it, this entry stops, or the box is too slow.
     async fn lead(&mut self) {
         let (group, size) = (self.members.group.clone(), self.members.size);
         log::info!("event=leading_asked group={group}");
         let mut is_leading = false;
         while !self.entry.is_stopping.get() {
-            // A process may have stood still: what it knew of the group is void once its
-            // grants have run out, even if it is granted again.
+            // The process may have been suspended. Once its grants have expired, its state of the group is
+            // invalid, even if the agents grant it again.
             if is_leading && !self.leadership.has_majority(size, self.now_ms(), 0) {
                 log::info!("event=leading_lapsed group={group}");
                 return;
             }
-            let asked_ms = self.now_ms();
-            let holder = self.round().await;
+            let round_started_ms = self.now_ms();
+            let holder = self.run_round().await;
             if !self.leadership.has_majority(size, self.now_ms(), 0) {
                 log::info!("event=leading_ended group={group} holder={holder:?}");
                 return;
@@ -155,41 +161,42 @@
                 log::info!("event=leading_too_slow group={group} search_ms={}", self.search_ms);
                 return;
             }
-            tokio::time::sleep(self.pause(asked_ms)).await;
+            tokio::time::sleep(self.pause_before_next_round(round_started_ms)).await;
         }
         log::info!("event=leading_stopped group={group}");
     }
 
-    /// Goes on with a change, and tells of the group, as the last round showed it.
+    /// Advances the change in progress and reports the group, according to the last round.
     async fn act_on_round(&mut self) {
-        self.find_missing();
+        self.discover_missing_ranks();
         if self.controller.is_copying() {
-            self.look_at_hold_rank().await;
+            self.refresh_hold_rank().await;
         }
         self.decide().await;
         if self.controller.is_placing_hold() {
             self.place_hold().await;
         }
-        self.note_pace();
-        self.tell_entries(ReporterRole::Leads);
+        self.log_pace();
+        self.report_if_due(ReporterRole::Leads);
     }
 
-    /// Tells now and then how fast the group's steps are.
-    fn note_pace(&mut self) {
+    /// Logs the pace of the group's steps when the log line is due.
+    fn log_pace(&mut self) {
         let now_ms = self.now_ms();
-        let mut note = std::mem::take(&mut self.pace_note);
-        note.note(&self.members.group, &self.last_round.views, now_ms, || self.present_skew());
-        self.pace_note = note;
+        let mut pace_log = std::mem::take(&mut self.pace_log);
+        pace_log.log_if_due(&self.members.group, &self.last_round.views, now_ms, || self.current_skew());
+        self.pace_log = pace_log;
     }
 
-    /// Gives back what was granted, and tells entries: another one should not wait until
-    /// grants run out.
+    /// Releases the grants and reports this to the entries, so that the next leader need not wait until the
+    /// grants expire.
     async fn stand_down(&mut self) {
         self.leadership.clear();
-        self.pending.clear();
-        let ask = LeaderRequest { releases_grant: true, ..self.plain_ask() };
-        let told = self.members.iter().map(|(_, member)| ask_agent(Rc::clone(&member.link), ask.clone(), 1));
-        join_all(told).await;
-        self.tell(ReporterRole::StoodDown);
+        self.pending_orders.clear();
+        let request = LeaderRequest { releases_grant: true, ..self.renewal_request() };
+        let releases =
+            self.members.iter().map(|(_, member)| send_to_agent(Rc::clone(&member.agent), request.clone(), 1));
+        join_all(releases).await;
+        self.report(ReporterRole::StoodDown);
     }
 }
--- a/crates/ochreyard-lead/src/leader/round.rs
+++ b/crates/ochreyard-lead/src/leader/round.rs
@@ -1,4 +1,4 @@
-//! One round: all ranks are asked at once, and their answers taken.
+//! One polling round: sends a request to all ranks at once and processes their responses.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -9,61 +9,63 @@
 use ochreyard_rank::{AgentResponse, EngineFactory, HeldExperts, LeaderRequest};
 
 use super::Leader;
-use super::hold_rank::split_direct;
-use crate::questions::{Question, ask_member};
+use super::hold_rank::split_direct_orders;
+use crate::rank_requests::{RankRequest, send_to_rank};
 
-/// Most ranks whose counts are asked for. Requests are spread evenly, so the counts of
-/// some ranks tell the demand on all, and each set of counts takes kilobytes and time.
-const COUNTED_RANKS: usize = 12;
+/// Most ranks whose selection counts are requested. Requests are spread evenly, so that a sample of the ranks
+/// shows the demand on all of them, and the counts of each rank take kilobytes and time.
+const MAX_SAMPLED_RANKS: usize = 12;
 
-impl<D: Dialect, S: EngineFactory> Leader<D, S> {
-    /// Asks all ranks at once, with the orders that are due. Says who else is granted, if somebody is.
-    pub(super) async fn round(&mut self) -> Option<LeaderId> {
-        let asked_ms = self.now_ms();
-        let (direct, orders) = split_direct(std::mem::take(&mut self.pending));
-        let direct_outcomes = self.order_directly(direct).await;
-        self.sent_maps.note(&orders);
-        let asks_counts = self.asks_counts();
-        let told = self.ask_all(&orders).await;
-        if asks_counts {
-            self.counts_asked_ms = asked_ms;
+impl<D: Dialect, F: EngineFactory> Leader<D, F> {
+    /// Sends requests with the pending orders to all ranks at once. Returns the leader that holds a grant in
+    /// place of this one, if there is one.
+    pub(super) async fn run_round(&mut self) -> Option<LeaderId> {
+        let sent_ms = self.now_ms();
+        let (direct_orders, orders) = split_direct_orders(std::mem::take(&mut self.pending_orders));
+        let direct_outcomes = self.send_direct_orders(direct_orders).await;
+        self.sent_map.record(&orders);
+        let is_sampling = self.is_sampling_due();
+        let responses = self.request_all(&orders).await;
+        if is_sampling {
+            self.counts_requested_ms = sent_ms;
         }
-        let holder = self.take(told, &orders, asked_ms);
+        let holder = self.process_responses(responses, &orders, sent_ms);
         self.last_round.outcomes.extend(direct_outcomes);
         holder
     }
 
-    /// Whether ranks whose agents are down are reached through their engines: a
-    /// group that stands may be held at such a rank.
+    /// Whether ranks whose agents are down are reached through their engines: a stalled
+    /// group may be held at such a rank.
     fn reaches_engines(&self) -> bool {
         let is_needed = self.controller.must_reach_all() || !self.is_serving;
         is_needed && self.last_round.views.iter().any(Option::is_none)
     }
 
-    /// The answers by rank, where they came.
-    async fn ask_all(&self, orders: &[(usize, SentOrder)]) -> Vec<Option<AgentResponse>> {
+    /// Sends a request to each known rank. Returns the responses by rank, `None` where none arrived.
+    async fn request_all(&self, orders: &[(usize, SentOrder)]) -> Vec<Option<AgentResponse>> {
         let reaches_engines = self.reaches_engines();
-        let counted = if self.asks_counts() { self.members.counted(COUNTED_RANKS) } else { BTreeSet::new() };
-        let asked = self.members.iter().map(|(rank, member)| {
-            let ask = LeaderRequest { wants_counts: counted.contains(&rank), ..self.ask_for(rank, orders) };
-            let short = self.sent_maps.shortened(&ask, member.known_map_version);
-            let question = Question { ask: short, orders: ask.orders, asked_at_once: self.members.size };
-            let engine = reaches_engines.then(|| self.engines.client_at(member.engine.addr));
-            async move { (rank, ask_member(Rc::clone(&member.link), question, engine).await) }
+        let sampled =
+            if self.is_sampling_due() { self.members.sampled_ranks(MAX_SAMPLED_RANKS) } else { BTreeSet::new() };
+        let requests = self.members.iter().map(|(rank, member)| {
+            let request = LeaderRequest { wants_counts: sampled.contains(&rank), ..self.request_for(rank, orders) };
+            let message = self.sent_map.with_delta(&request, member.known_map_version);
+            let request = RankRequest { message, orders: request.orders, concurrent_requests: self.members.size };
+            let engine = reaches_engines.then(|| self.engine_factory.client_at(member.engine.addr));
+            async move { (rank, send_to_rank(Rc::clone(&member.agent), request, engine).await) }
         });
-        let mut told: Vec<Option<AgentResponse>> = (0..self.members.size).map(|_| None).collect();
-        for (rank, answer) in join_all(asked).await {
-            if let Some(place) = told.get_mut(rank) {
-                *place = answer;
+        let mut responses: Vec<Option<AgentResponse>> = (0..self.members.size).map(|_| None).collect();
+        for (rank, response) in join_all(requests).await {
+            if let Some(slot) = responses.get_mut(rank) {
+                *slot = response;
             }
         }
-        told
+        responses
     }
 
-    /// A question that only renews the grant.
-    pub(super) const fn plain_ask(&self) -> LeaderRequest {
+    /// A request that only renews the grant.
+    pub(super) const fn renewal_request(&self) -> LeaderRequest {
         LeaderRequest {
-            leader: self.me,
+            leader: self.id,
             lease_ms: self.settings.lease_ms,
             orders: Vec::new(),
             map_delta: None,
@@ -73,52 +75,57 @@
         }
     }
 
-    pub(super) fn ask_for(&self, rank: usize, orders: &[(usize, SentOrder)]) -> LeaderRequest {
+    /// The request to one rank, with those of `orders` that are for this rank.
+    pub(super) fn request_for(&self, rank: usize, orders: &[(usize, SentOrder)]) -> LeaderRequest {
         LeaderRequest {
             orders: orders.iter().filter(|(to, _)| *to == rank).map(|(_, order)| order.clone()).collect(),
-            wants_held_experts: !self.knows_present(),
-            ..self.plain_ask()
+            wants_held_experts: !self.knows_current_map(),
+            ..self.renewal_request()
         }
     }
 
-    /// While experts are copied, rounds come faster than counts are worth asking for. While
-    /// a step is held, rounds should be short; what is chosen meanwhile is told after it.
-    fn asks_counts(&self) -> bool {
-        let are_due = self.now_ms() >= self.counts_asked_ms + self.settings.round_ms;
-        !self.controller.is_busy() || (self.controller.is_copying() && are_due)
+    /// Whether to request selection counts in this round. While experts are copied, rounds are more frequent than
+    /// counts are useful. In the other phases of a change, such as while a step is held, rounds
+    /// should be short; the counts from that time are read afterwards.
+    fn is_sampling_due(&self) -> bool {
+        let is_due = self.now_ms() >= self.counts_requested_ms + self.settings.round_ms;
+        !self.controller.is_busy() || (self.controller.is_copying() && is_due)
     }
 
-    fn knows_present(&self) -> bool {
+    fn knows_current_map(&self) -> bool {
         let view = self.last_round.views.iter().flatten().next();
         view.is_some_and(|view| self.controller.knows_map_of(view))
     }
 
-    /// Takes the answers. Says who else is granted, if an answer names somebody.
-    fn take(
+    /// Processes the responses. Returns the leader that holds a grant in place of this one, if a response
+    /// names one.
+    fn process_responses(
         &mut self,
-        told: Vec<Option<AgentResponse>>,
+        responses: Vec<Option<AgentResponse>>,
         orders: &[(usize, SentOrder)],
-        asked_ms: u64,
+        sent_ms: u64,
     ) -> Option<LeaderId> {
         let mut holder = None;
-        let mut round = Round { views: vec![None; told.len()], outcomes: Vec::new() };
-        let mut chosen: Vec<f64> = Vec::new();
-        let mut lists: Vec<Option<HeldExperts>> = vec![None; told.len()];
-        for (rank, told) in told.into_iter().enumerate() {
-            let Some(told) = told else { continue };
-            self.leadership.on_answer(rank, told.granted, asked_ms);
-            holder = holder.or(told.holder);
-            self.members.note_map(rank, told.known_map_version);
-            round.views[rank] = told.view.filter(|view| self.members.fits(rank, view));
+        let mut round = Round { views: vec![None; responses.len()], outcomes: Vec::new() };
+        let mut selections: Vec<f64> = Vec::new();
+        let mut held_experts: Vec<Option<HeldExperts>> = vec![None; responses.len()];
+        for (rank, response) in responses.into_iter().enumerate() {
+            let Some(response) = response else { continue };
+            self.leadership.on_answer(rank, response.granted, sent_ms);
+            holder = holder.or(response.holder);
+            self.members.record_known_map(rank, response.known_map_version);
+            round.views[rank] = response.view.filter(|view| self.members.matches_view(rank, view));
             let sent = orders.iter().filter(|(to, _)| *to == rank);
-            round.outcomes.extend(sent.zip(told.outcomes).map(|((to, order), outcome)| (*to, order.clone(), outcome)));
-            lists[rank] = told.held_experts;
-            if told.selection_counts.is_some_and(|counts| !counts.add_to(&mut chosen)) {
+            round
+                .outcomes
+                .extend(sent.zip(response.outcomes).map(|((to, order), outcome)| (*to, order.clone(), outcome)));
+            held_experts[rank] = response.held_experts;
+            if response.selection_counts.is_some_and(|counts| !counts.add_to(&mut selections)) {
                 log::warn!("event=counts_unreadable group={} rank={rank}", self.members.group);
             }
         }
-        self.take_lists(&lists);
-        self.add_demand(&chosen);
+        self.apply_held_experts(&held_experts);
+        self.record_demand(&selections);
         self.last_round = round;
         holder
     }
--- a/crates/ochreyard-lead/src/lib.rs
+++ b/crates/ochreyard-lead/src/lib.rs
@@ -1,22 +1,24 @@
-//! Entries lead the groups of ranks: each may, and the agents of a group grant one.
+//! Makes an entry the leader of groups of ranks. Every entry may lead, and the agents of a group
+//! grant the leadership to one of them.
 //!
-//! An entry has the processor time and the link that a box beside an engine lacks.
-//! The leader of a group asks the agent of each rank for its view and counts, plans
-//! maps, gives orders through the agents, and tells all entries of the group. What
-//! is decided is in [`ochreyard_core::group_map`]; this package is the input and output.
+//! Entries lead since they have the processor time and the bandwidth that the boxes of the
+//! engines lack. The leader of a group polls the agent of each rank for its view and
+//! selection counts, plans maps, sends orders through the agents, and reports the state of
+//! the group to all entries. The decisions are made in [`ochreyard_core::group_map`]; this
+//! crate does the input and output.
 
-mod engine_at;
+mod engine_location;
 mod fields;
-mod found_rank;
+mod group_reporter;
 mod leader;
 mod members;
-mod pace_note;
-mod questions;
-mod sent_maps;
+mod pace_log;
+mod rank_discovery;
+mod rank_requests;
+mod sent_map;
 mod service_watch;
 mod settings;
 mod step_progress;
-mod teller;
 
 use std::rc::Rc;
 
@@ -27,8 +29,8 @@
 pub use self::fields::FIELDS;
 use self::settings::LeaderSettings;
 
-/// Starts what makes an entry lead groups, on the present thread.
-pub fn start<D: Dialect, S: EngineFactory>(entry: &Rc<Entry<D>>, engines: S, settings: &Settings) {
+/// Spawns the task that makes an entry lead groups, on the current thread's `LocalSet`.
+pub fn start<D: Dialect, F: EngineFactory>(entry: &Rc<Entry<D>>, engine_factory: F, settings: &Settings) {
     let settings = LeaderSettings::read(settings);
-    tokio::task::spawn_local(service_watch::watch_services(Rc::clone(entry), engines, settings));
+    tokio::task::spawn_local(service_watch::watch_services(Rc::clone(entry), engine_factory, settings));
 }
--- a/crates/ochreyard-lead/src/service_watch.rs
+++ b/crates/ochreyard-lead/src/service_watch.rs
@@ -1,4 +1,4 @@
-//! Looks whether the groups of a service are led, and leads those that are not.
+//! Checks whether the groups of each service have a leader, and leads those that have none.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,66 +9,70 @@
 use ochreyard_direct::{Dialect, Entry};
 use ochreyard_rank::EngineFactory;
 
-use crate::engine_at::EngineAt;
-use crate::found_rank::{FoundRank, look_at};
+use crate::engine_location::EngineLocation;
 use crate::leader::Leader;
 use crate::members::Members;
+use crate::rank_discovery::{DiscoveredRank, discover_ranks};
 use crate::settings::LeaderSettings;
 
-/// Pause between looks: a fifth of the time after which a leader counts as silent.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
-/// How long a box that was too slow to lead lets all others ask before it, in milliseconds.
-const SLOW_MS: u64 = 10_000;
+/// Pause between checks: a fifth of the time after which a leader counts as silent.
+const CHECK_PAUSE: Duration = Duration::from_millis(150);
+/// Time for which a box that was too slow to lead comes after all other candidates, in milliseconds.
+const SLOW_BOX_DEFERRAL_MS: u64 = 10_000;
 
-/// Names of the groups that this entry leads, or tries to lead.
+/// Names of the groups that this entry leads or is attempting to lead.
 type LedGroups = Rc<RefCell<BTreeSet<String>>>;
 
-/// Watches every service whose engines form groups.
-pub async fn watch_services<D: Dialect, S: EngineFactory>(entry: Rc<Entry<D>>, engines: S, settings: LeaderSettings) {
-    let mut watches: BTreeMap<String, ServiceWatch<D, S>> = BTreeMap::new();
+/// Periodically checks every service whose engines form groups, until the process ends.
+pub async fn watch_services<D: Dialect, F: EngineFactory>(
+    entry: Rc<Entry<D>>,
+    engine_factory: F,
+    settings: LeaderSettings,
+) {
+    let mut watches: BTreeMap<String, ServiceWatch<D, F>> = BTreeMap::new();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_PAUSE).await;
         if entry.is_stopping.get() {
             continue;
         }
         for service in entry.grouped_services() {
-            let new_watch = || ServiceWatch::new(Rc::clone(&entry), engines.clone(), service.clone(), settings);
-            watches.entry(service.clone()).or_insert_with(new_watch).look().await;
+            let new_watch = || ServiceWatch::new(Rc::clone(&entry), engine_factory.clone(), service.clone(), settings);
+            watches.entry(service.clone()).or_insert_with(new_watch).check().await;
         }
     }
 }
 
-/// Watches one service.
-struct ServiceWatch<D, S> {
+/// Checks the groups of one service.
+struct ServiceWatch<D, F> {
     entry: Rc<Entry<D>>,
-    engines: S,
+    engine_factory: F,
     service: String,
     settings: LeaderSettings,
     candidacy: Candidacy,
-    led: LedGroups,
+    led_groups: LedGroups,
     slow_until_ms: Rc<Cell<u64>>,
 }
 
-impl<D: Dialect, S: EngineFactory> ServiceWatch<D, S> {
-    fn new(entry: Rc<Entry<D>>, engines: S, service: String, settings: LeaderSettings) -> Self {
-        let (candidacy, led) = (Candidacy::default(), LedGroups::default());
-        Self { entry, engines, service, settings, candidacy, led, slow_until_ms: Rc::default() }
+impl<D: Dialect, F: EngineFactory> ServiceWatch<D, F> {
+    fn new(entry: Rc<Entry<D>>, engine_factory: F, service: String, settings: LeaderSettings) -> Self {
+        let (candidacy, led_groups) = (Candidacy::default(), LedGroups::default());
+        Self { entry, engine_factory, service, settings, candidacy, led_groups, slow_until_ms: Rc::default() }
     }
 
-    /// Leads a group that nobody leads, if there is one and it is this entry's turn.
-    async fn look(&mut self) {
+    /// Starts to lead a group without a leader, if there is one and it is this entry's turn.
+    async fn check(&mut self) {
         let now_ms = self.entry.clock.now_ms();
-        let unled = self.entry.state.borrow().pool.leaderless_groups(&self.service, now_ms);
-        let place = self.place();
-        if !self.candidacy.is_due(unled, place, now_ms) {
+        let leaderless = self.entry.state.borrow().pool.leaderless_groups(&self.service, now_ms);
+        let position = self.candidate_position();
+        if !self.candidacy.is_due(leaderless, position, now_ms) {
             return;
         }
         metrics::counter!("ochreyard_direct_unled_groups_seen_total", "service" => self.service.clone()).increment(1);
-        let found = look_at(&self.entry, self.engines_known()).await;
-        let found_count = found.len();
-        let group = self.unled_group(found, place);
+        let discovered = discover_ranks(&self.entry, self.known_engines()).await;
+        let discovered_count = discovered.len();
+        let group = self.leaderless_group(discovered, position);
         log::info!(
-            "event=unled_seen service={} place={place} ranks_found={found_count} group={}",
+            "event=unled_seen service={} place={position} ranks_found={discovered_count} group={}",
             self.service,
             group.as_ref().map_or("-", |members| members.group.as_str())
         );
@@ -78,55 +82,55 @@
         }
     }
 
-    /// The place of this entry in the order of those that ask. One that leads a group
-    /// already, or was too slow, leaves the next one to others first.
-    fn place(&self) -> usize {
+    /// The position of this entry in the order of candidates. For each group that the entry leads already, and
+    /// if it was recently too slow to lead, all others come first.
+    fn candidate_position(&self) -> usize {
         let state = self.entry.state.borrow();
         let own = (self.entry.identity.name.as_str(), &self.entry.identity.record);
         let is_slow = self.entry.clock.now_ms() < self.slow_until_ms.get();
-        let passes = self.led.borrow().len() + usize::from(is_slow);
-        candidate_position(&self.service, own, &state.boxes) + passes * state.boxes.len()
+        let deferrals = self.led_groups.borrow().len() + usize::from(is_slow);
+        candidate_position(&self.service, own, &state.boxes) + deferrals * state.boxes.len()
     }
 
-    fn engines_known(&self) -> Vec<EngineAt> {
+    fn known_engines(&self) -> Vec<EngineLocation> {
         let state = self.entry.state.borrow();
         let data_centre = &self.entry.identity.data_centre;
-        state.pool.endpoints(&self.service).map(|(_, record)| EngineAt::new(record, data_centre)).collect()
+        state.pool.endpoints(&self.service).map(|(_, record)| EngineLocation::new(record, data_centre)).collect()
     }
 
-    /// One of the groups among the found ranks that nobody leads. Entries at different
-    /// places try different ones.
-    fn unled_group(&self, found: Vec<FoundRank>, place: usize) -> Option<Members> {
+    /// Selects one of the groups without a leader among the discovered ranks. Entries at different
+    /// positions select different groups.
+    fn leaderless_group(&self, discovered: Vec<DiscoveredRank>, position: usize) -> Option<Members> {
         let now_ms = self.entry.clock.now_ms();
-        let mut groups: BTreeMap<String, Vec<FoundRank>> = BTreeMap::new();
-        for rank in found {
+        let mut groups: BTreeMap<String, Vec<DiscoveredRank>> = BTreeMap::new();
+        for rank in discovered {
             groups.entry(rank.view.group.clone()).or_default().push(rank);
         }
         let state = self.entry.state.borrow();
         groups.retain(|group, ranks| {
             let is_granted = ranks.iter().any(|rank| rank.holder.is_some());
-            let is_tried = self.led.borrow().contains(group);
-            !is_granted && !is_tried && state.pool.is_group_leaderless(&self.service, group, now_ms)
+            let is_led_here = self.led_groups.borrow().contains(group);
+            !is_granted && !is_led_here && state.pool.is_group_leaderless(&self.service, group, now_ms)
         });
-        let at = place.checked_rem(groups.len())?;
-        let (group, ranks) = groups.into_iter().nth(at)?;
+        let index = position.checked_rem(groups.len())?;
+        let (group, ranks) = groups.into_iter().nth(index)?;
         let size = ranks.first()?.view.size;
         let mut members = Members::new(group, size);
-        ranks.into_iter().for_each(|rank| members.note(rank));
+        ranks.into_iter().for_each(|rank| members.add(rank));
         Some(members)
     }
 
     fn start_leading(&self, members: Members) {
-        let (led, group) = (Rc::clone(&self.led), members.group.clone());
-        led.borrow_mut().insert(group.clone());
+        let (led_groups, group) = (Rc::clone(&self.led_groups), members.group.clone());
+        led_groups.borrow_mut().insert(group.clone());
         let entry = Rc::clone(&self.entry);
         let slow_until_ms = Rc::clone(&self.slow_until_ms);
-        let leader = Leader::new(Rc::clone(&entry), self.engines.clone(), &self.service, members, self.settings);
+        let leader = Leader::new(Rc::clone(&entry), self.engine_factory.clone(), &self.service, members, self.settings);
         tokio::task::spawn_local(async move {
             if leader.run().await {
-                slow_until_ms.set(entry.clock.now_ms() + SLOW_MS);
+                slow_until_ms.set(entry.clock.now_ms() + SLOW_BOX_DEFERRAL_MS);
             }
-            led.borrow_mut().remove(&group);
+            led_groups.borrow_mut().remove(&group);
         });
     }
 }
