--- a/crates/ochreyard-core/src/config.rs
+++ b/crates/ochreyard-core/src/config.rs
@@ -1,5 +1,5 @@
-//! The accepted configuration: what it holds, how it changes, and how it is
-//! folded from the platform's log.
+//! The accepted configuration: its contents, the plans that change it, and the fold that derives it from the
+//! platform's log.
 
 mod change;
 mod configuration;
@@ -15,4 +15,4 @@
 pub use fold::{ConfigFold, FoldEvent, FoldStatus, LogPage, LogRecord};
 pub use plan::{Plan, PlanStep};
 pub use record::{ConfigRecord, ConfirmedPlan, HomeAck};
-pub use spec::{DataCentreSpec, EndpointSpec, Holding, Role, ServiceKind, ServiceSpec, WorkspaceSpec};
+pub use spec::{DataCentreSpec, EndpointSpec, Role, ServiceKind, ServiceSpec, ServingPermission, WorkspaceSpec};
--- a/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
+++ b/crates/ochreyard-core/src/direct/endpoint_pool/pick.rs
@@ -5,23 +5,23 @@
 use crate::direct::waiting::Urgency;
 use crate::direct::{EndpointIncarnation, EndpointRecord};
 
-/// The endpoint for an attempt.
+/// The endpoint that was picked for an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pick {
-    /// Its identifier.
+    /// Identifier of the endpoint.
     pub id: String,
-    /// When the life of it that was picked started.
+    /// Start time of the picked incarnation.
     pub started_ms: u64,
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub addr: SocketAddr,
-    /// Requests that this box already has there.
+    /// Requests of this box that were in flight to the endpoint when it was picked.
     pub in_flight: u64,
-    /// How soon the request had to go.
+    /// The urgency of the request.
     pub urgency: Urgency,
 }
 
 impl Pick {
-    /// The endpoint `id` as its record says, for whoever asks of it without a request.
+    /// Creates a pick of the endpoint `id` from its record, for uses without a request.
     #[must_use]
     pub fn from_record(id: &str, record: &EndpointRecord) -> Self {
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The life of the endpoint that was picked.
+    /// Returns the picked incarnation of the endpoint.
     #[must_use]
     pub fn incarnation(&self) -> EndpointIncarnation {
         EndpointIncarnation { id: self.id.clone(), started_ms: self.started_ms }
--- a/crates/ochreyard-direct/src/follow/config.rs
+++ b/crates/ochreyard-direct/src/follow/config.rs
@@ -1,73 +1,75 @@
-//! Follows what operators write into the platform's log: the configuration, and evacuations of data centres.
+//! Follows the records that operators write into the platform's log: the configuration, and evacuations of data
+//! centres.
 
 use std::rc::Rc;
 
 use ochreyard_core::direct::{LogRetryBackoff, ReadRole};
 
-use super::{after_last, noted};
+use super::{record_log_result, resume_position};
 use crate::dialect::Dialect;
 use crate::entry::Entry;
 use crate::keyed_log::{KeyedLog, KeyedLogError, Topic};
 
-/// How long a reading of the configuration waits for news in a box that reads for others. A
-/// reading whose answer is lost ends after this and the time-out.
-const READER_WAIT_MS: u64 = 5_000;
-/// How long it waits in a box that relays: each reading is a call to the log, and those that read tell of a newer
-/// configuration meanwhile, several times a second.
-const RELAY_WAIT_MS: u64 = 25_000;
+/// How long a read of the configuration waits for new records in a box that reads for others. A read whose answer is
+/// lost ends after this and the request timeout.
+const READER_LONG_POLL_MS: u64 = 5_000;
+/// How long it waits in a relaying box. Each read is a call to the log, and the reading boxes send a newer
+/// configuration in the meantime, several times a second.
+const RELAY_LONG_POLL_MS: u64 = 25_000;
 
-/// Follows what operators write; each reading waits for the next record. A box that is told by others does not read, but
-/// where they tell it too little.
+/// Follows the operators' records with long polls. A box that others keep current reads only if they send it too
+/// little.
 pub async fn follow_config<D: Dialect, L: KeyedLog>(entry: Rc<Entry<D>>, log: L) {
-    let mut returns = entry.returns.subscribe();
-    let mut pauses = LogRetryBackoff::default();
-    entry.wait_for_start().await;
+    let mut log_restores = entry.log_restores.subscribe();
+    let mut retry_backoff = LogRetryBackoff::default();
+    entry.wait_for_start_delay().await;
     'outage: loop {
-        entry.wait_while_told().await;
-        let start = log.newest(Topic::Config).await;
-        let Some(page) = noted(&entry, &log, start) else {
-            tokio::time::sleep(entry.pause_after_failure(&mut pauses)).await;
+        entry.wait_while_updated_by_peers().await;
+        let listing = log.newest(Topic::Config).await;
+        let Some(page) = record_log_result(&entry, &log, listing) else {
+            tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
             continue;
         };
-        pauses.reset();
+        retry_backoff.reset();
         let version = entry.config_version();
-        entry.take_operator_listing(&page);
-        entry.tell_of_operators(version);
-        let mut from = after_last(&page);
+        entry.apply_operator_listing(&page);
+        entry.broadcast_operator_update(version);
+        let mut from = resume_position(&page);
         loop {
-            let wait_ms = match entry.duty() {
-                ReadRole::Reader => READER_WAIT_MS,
-                ReadRole::Relay => RELAY_WAIT_MS,
+            let wait_ms = match entry.read_role() {
+                ReadRole::Reader => READER_LONG_POLL_MS,
+                ReadRole::Relay => RELAY_LONG_POLL_MS,
                 ReadRole::Follower => {
-                    tokio::time::sleep(entry.pause_after_failure(&mut pauses)).await;
+                    tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
                     continue 'outage;
                 }
             };
-            // A reading that began before an outage may never be answered, and is noticed seconds after the return.
-            let reading = tokio::select! {
-                reading = log.read(Topic::Config, from, wait_ms) => reading,
-                () = entry.log_returned.notified() => continue 'outage,
-                _ = returns.changed() => {
-                    entry.spread().await;
+            // A read that began before an outage may never be answered, which is noticed only seconds after the log is
+            // reachable again.
+            let result = tokio::select! {
+                result = log.read(Topic::Config, from, wait_ms) => result,
+                () = entry.log_reachable_again.notified() => continue 'outage,
+                _ = log_restores.changed() => {
+                    entry.wait_restore_jitter().await;
                     continue 'outage;
                 }
             };
-            match reading {
+            match result {
                 Err(KeyedLogError::Gone { first }) if first.era == from.era && first > from => from = first,
                 result => {
-                    let Some(page) = noted(&entry, &log, result) else { break };
+                    let Some(page) = record_log_result(&entry, &log, result) else { break };
                     if page.next.era != from.era {
                         continue 'outage;
                     }
                     let version = entry.config_version();
-                    entry.take_operator_records(&page.records);
+                    entry.apply_operator_records(&page.records);
                     if !page.records.is_empty() {
-                        entry.tell_of_operators(version);
+                        entry.broadcast_operator_update(version);
                     }
                     from = page.next;
                 }
             }
         }
-        tokio::time::sleep(entry.pause_after_failure(&mut pauses)).await;
+        tokio::time::sleep(entry.retry_delay(&mut retry_backoff)).await;
     }
 }
--- a/crates/ochreyard-direct/src/job/choosing.rs
+++ b/crates/ochreyard-direct/src/job/choosing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to next, or whether it waits for one.
+//! Chooses the endpoint that a request goes to next, or lets the request wait for one.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,176 +8,177 @@
 use super::Job;
 use crate::dialect::Dialect;
 use crate::entry::{State, queue_of};
-use crate::given_up::GivenUp;
+use crate::give_up_reason::GiveUpReason;
 use crate::meters;
-use crate::waiting_place::{WaitEnd, WaitingPlace};
+use crate::queue_slot::{QueueSlot, WaitEnd};
 
-/// How often a waiting request looks for room: well under the time of a step.
-const ROOM_LOOK: Duration = Duration::from_millis(10);
-/// Endpoints that are tried in vain for one request before it is given up, where
-/// none of them got it, and that took its time: a few connections that did not come up.
-const MAX_UNREACHED: usize = 4;
-/// The same where they failed at once, as they do where a data centre is cut off: two of each are tried before it counts as that.
-const MAX_UNREACHED_AT_ONCE: usize = 16;
-/// Least time left for which another attempt is worth its cost, in milliseconds: an
-/// engine's step alone takes longer.
-const LEAST_USEFUL_MS: u64 = 30;
+/// How often a waiting request looks for a free endpoint: well under the time of an engine step.
+const PICK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Number of failed attempts after which a request that reached no endpoint is given up, if the attempts took as long
+/// as the latency target.
+const MAX_SLOW_FAILURES: usize = 4;
+/// The same if they failed at once, as they do when a data centre is cut off: two endpoints of it are tried before the
+/// data centre counts as cut off.
+const MAX_FAST_FAILURES: usize = 16;
+/// Least time left for which another attempt is worth its cost, in milliseconds: a single engine step takes longer.
+const MIN_ATTEMPT_MS: u64 = 30;
 
-/// Why a request has no endpoint now.
+/// Why no endpoint was picked for a request.
 enum NotPicked {
-    /// It waits for one.
+    /// The request waits for an endpoint.
     Wait,
-    /// It is given up.
-    GivenUp(GivenUp),
+    /// The request is given up.
+    GiveUp(GiveUpReason),
 }
 
-impl From<GivenUp> for NotPicked {
-    fn from(why: GivenUp) -> Self {
-        Self::GivenUp(why)
+impl From<GiveUpReason> for NotPicked {
+    fn from(why: GiveUpReason) -> Self {
+        Self::GiveUp(why)
     }
 }
 
 impl<D: Dialect> Job<D> {
-    /// Picks an endpoint; where there is none now, waits for one as long as that may help.
-    pub(super) async fn wait_for_pick(&mut self, last: GivenUp) -> Result<Pick, GivenUp> {
-        let mut place = None;
+    /// Picks an endpoint; if none is available now, waits for one as long as that may help.
+    pub(super) async fn wait_for_pick(&mut self, last: GiveUpReason) -> Result<Pick, GiveUpReason> {
+        let mut slot = None;
         loop {
-            let picked = match self.pick_next(last, place.as_ref()) {
+            let picked = match self.pick_next(last, slot.as_ref()) {
                 Ok(pick) => Ok(pick),
-                Err(NotPicked::GivenUp(why)) => Err(why),
+                Err(NotPicked::GiveUp(why)) => Err(why),
                 Err(NotPicked::Wait) => {
-                    if place.is_none() {
-                        place = Some(WaitingPlace::join(&self.entry, &self.seeker()));
-                        if self.stands() {
-                            self.end.on_held();
+                    if slot.is_none() {
+                        slot = Some(QueueSlot::join(&self.entry, &self.pending_request()));
+                        if self.is_service_stalled() {
+                            self.stall_outcome.on_held();
                         }
                     }
-                    tokio::time::sleep(ROOM_LOOK).await;
+                    tokio::time::sleep(PICK_RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            if let Some(place) = &place {
-                place.end(if picked.is_ok() { WaitEnd::Sent } else { WaitEnd::GivenUp });
+            if let Some(slot) = &slot {
+                slot.set_end(if picked.is_ok() { WaitEnd::Sent } else { WaitEnd::Abandoned });
             }
             return picked;
         }
     }
 
-    /// Whether no further attempt is allowed.
-    fn is_spent(&self) -> bool {
-        let in_vain = self.tried.len() + self.refused_by_stands;
-        let took_its_time = self.elapsed_ms() >= self.route.aim_ms;
+    /// Returns whether no further attempt is allowed.
+    fn attempts_exhausted(&self) -> bool {
+        let failures = self.tried.len() + self.stall_refusals;
+        let is_past_target = self.elapsed_ms() >= self.route.target_latency_ms;
         self.sent >= self.route.max_attempts
-            || (in_vain >= MAX_UNREACHED && took_its_time)
-            || in_vain >= MAX_UNREACHED_AT_ONCE
+            || (failures >= MAX_SLOW_FAILURES && is_past_target)
+            || failures >= MAX_FAST_FAILURES
     }
 
-    fn pick_next(&mut self, last: GivenUp, place: Option<&WaitingPlace<D>>) -> Result<Pick, NotPicked> {
+    fn pick_next(&mut self, last: GiveUpReason, slot: Option<&QueueSlot<D>>) -> Result<Pick, NotPicked> {
         let now_ms = self.entry.clock.now_ms();
         if self.may_have_run && !self.route.kind.may_run_again() {
-            return Err(GivenUp::Failed.into());
+            return Err(GiveUpReason::Failed.into());
         }
         let is_trial = self.is_trial(now_ms)?;
-        if self.is_spent() {
+        if self.attempts_exhausted() {
             return Err(last.into());
         }
-        if self.time_left_ms() < LEAST_USEFUL_MS {
-            return Err(GivenUp::TimeUp.into());
+        if self.time_left_ms() < MIN_ATTEMPT_MS {
+            return Err(GiveUpReason::TimeUp.into());
         }
-        if place.is_some() && self.entry.is_refusing.get() {
-            return Err(GivenUp::Leaving.into());
+        if slot.is_some() && self.entry.is_refusing.get() {
+            return Err(GiveUpReason::Leaving.into());
         }
         let entry = Rc::clone(&self.entry);
         let mut state = entry.state.borrow_mut();
-        if self.has_arrived && !state.budget.has_retry(&self.service, now_ms) {
-            return Err(GivenUp::Budget.into());
+        if self.has_reached_endpoint && !state.budget.has_retry(&self.service, now_ms) {
+            return Err(GiveUpReason::Budget.into());
         }
         let boxes = state.boxes.len() as u64 + 1;
-        let seeker = PendingRequest { ticket: place.map(WaitingPlace::ticket), ..self.seeker() };
+        let request = PendingRequest { ticket: slot.map(QueueSlot::ticket), ..self.pending_request() };
         let State { queues, pool, .. } = &mut *state;
         let queue = queue_of(queues, &self.service);
-        match queue.decide(pool, boxes, &seeker, entry.next_random(), now_ms) {
+        match queue.decide(pool, boxes, &request, entry.next_random(), now_ms) {
             DispatchDecision::Send(pick) => {
-                if self.has_arrived && state.budget.try_take(&self.service, now_ms) {
-                    meters::on_repeat(&self.service);
+                if self.has_reached_endpoint && state.budget.try_take(&self.service, now_ms) {
+                    meters::on_retry(&self.service);
                 }
                 drop(state);
                 if is_trial {
-                    self.is_tried = true;
+                    self.is_on_trial = true;
                     self.entry.begin_trial(self.fingerprint());
                 }
                 Ok(pick)
             }
             DispatchDecision::Wait(facts) => {
-                self.last_facts = Some(facts);
+                self.last_wait_facts = Some(facts);
                 Err(NotPicked::Wait)
             }
             DispatchDecision::GiveUp(facts) => {
-                self.last_facts = Some(facts);
-                Err(given_up(facts.no_pick, last, now_ms).into())
+                self.last_wait_facts = Some(facts);
+                Err(give_up_reason(facts.no_pick, last, now_ms).into())
             }
         }
     }
 
-    /// Whether it would run as a suspect that is tried.
+    /// Returns whether the request would run as the trial of a suspected request.
     ///
     /// # Errors
     ///
-    /// When it is refused: it crashed endpoints, a copy of it is being tried, or this would be a repeat of a suspect.
-    fn is_trial(&self, now_ms: u64) -> Result<bool, GivenUp> {
+    /// When the request is refused: it crashed endpoints, a trial of an identical request is running, or this would be
+    /// a retry of a suspected request.
+    fn is_trial(&self, now_ms: u64) -> Result<bool, GiveUpReason> {
         let state = self.entry.state.borrow();
         if state.quarantine.is_empty() {
             return Ok(false);
         }
         match state.quarantine.decision(self.fingerprint(), now_ms) {
             QuarantineDecision::Allow => Ok(false),
-            QuarantineDecision::AllowAsTrial if self.may_have_run => Err(GivenUp::Failed),
+            QuarantineDecision::AllowAsTrial if self.may_have_run => Err(GiveUpReason::Failed),
             QuarantineDecision::AllowAsTrial => Ok(true),
-            QuarantineDecision::WaitForTrial { .. } if self.is_tried => Ok(false),
+            QuarantineDecision::WaitForTrial { .. } if self.is_on_trial => Ok(false),
             QuarantineDecision::WaitForTrial { left_ms } | QuarantineDecision::Refuse { left_ms } => {
-                Err(GivenUp::Quarantined { left_ms })
+                Err(GiveUpReason::Quarantined { left_ms })
             }
         }
     }
 
-    fn seeker(&self) -> PendingRequest<'_> {
+    fn pending_request(&self) -> PendingRequest<'_> {
         PendingRequest {
             service: &self.service,
-            allowed_regions: &self.homes,
+            allowed_regions: &self.allowed_regions,
             tried: &self.tried,
             arrival: self.arrival,
             deadline_ms: self.deadline_ms,
             silent_since_ms: self.silent_since_ms,
-            aim_ms: self.route.aim_ms,
+            target_latency_ms: self.route.target_latency_ms,
             patience_ms: self.route.patience_ms,
             ticket: None,
         }
     }
 
-    /// Whether a whole answer that is a failure may be made good by another endpoint.
-    pub(super) fn may_try_again(&self) -> bool {
+    /// Returns whether a complete answer that reports a failure may be retried at another endpoint.
+    pub(super) fn may_retry(&self) -> bool {
         let now_ms = self.entry.clock.now_ms();
         let state = self.entry.state.borrow();
         self.route.kind.may_run_again()
             && self.sent < self.route.max_attempts
-            && self.time_left_ms() >= LEAST_USEFUL_MS
+            && self.time_left_ms() >= MIN_ATTEMPT_MS
             && state.budget.has_retry(&self.service, now_ms)
-            && self.finds_another(&state.pool, now_ms)
+            && self.has_other_endpoint(&state.pool, now_ms)
     }
 
-    fn finds_another(&self, pool: &EndpointPool, now_ms: u64) -> bool {
-        let urgency = self.seeker().urgency(now_ms);
-        pool.pick_in_regions(&self.homes, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
+    fn has_other_endpoint(&self, pool: &EndpointPool, now_ms: u64) -> bool {
+        let urgency = self.pending_request().urgency(now_ms);
+        pool.pick_in_regions(&self.allowed_regions, &self.service, &self.tried, urgency, 0, now_ms).is_ok()
     }
 }
 
-/// Why a request is given up that found no endpoint; `last` says how its last attempt went.
-const fn given_up(no_pick: PickError, last: GivenUp, now_ms: u64) -> GivenUp {
-    match no_pick {
+/// Returns why a request that found no endpoint is given up; `last` says how its last attempt ended.
+const fn give_up_reason(error: PickError, last: GiveUpReason, now_ms: u64) -> GiveUpReason {
+    match error {
         PickError::Nobody => last,
-        PickError::Full => GivenUp::Full,
-        PickError::Paused { until_ms } => GivenUp::Paused { left_ms: until_ms.saturating_sub(now_ms) },
-        PickError::Limited { until_ms } => GivenUp::Limited { left_ms: until_ms.saturating_sub(now_ms) },
-        PickError::Stands => GivenUp::Stands,
+        PickError::Full => GiveUpReason::Full,
+        PickError::Paused { until_ms } => GiveUpReason::Paused { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Limited { until_ms } => GiveUpReason::Limited { left_ms: until_ms.saturating_sub(now_ms) },
+        PickError::Stands => GiveUpReason::Stands,
     }
 }
--- a/crates/ochreyard-direct/src/lib.rs
+++ b/crates/ochreyard-direct/src/lib.rs
@@ -1,16 +1,16 @@
-//! An entry that calls endpoints itself, over plain HTTP.
+//! An entry process that calls endpoints directly, over plain HTTP.
 //!
-//! Where an endpoint says of itself that it has not run a request, and checks
-//! that it is the one that is meant, no agent is needed between: a request's
-//! whole story is in the one process that took it from the caller. This package
-//! is the input and output; what is decided is in [`ochreyard_core::direct`].
+//! No agent is needed in between if an endpoint reports whether it ran a request, and checks that a request is meant
+//! for it: one process then handles a request from the caller to the final answer. This package does the input and
+//! output; the decisions are in [`ochreyard_core::direct`].
 //!
-//! What the surroundings call things is in a [`Dialect`], and their log is
-//! behind [`KeyedLog`]; both are given to [`serve::run`].
+//! Header names and document formats of the platform come from a [`Dialect`], and its log is accessed through
+//! [`KeyedLog`]; both are given to [`serve::run`].
 
 mod answer;
 mod answer_body;
 mod attempt;
+mod buffered_bytes;
 mod call_error;
 mod caller_request;
 mod connection;
@@ -22,30 +22,29 @@
 mod evacuations;
 mod exchange;
 mod fields;
-mod flight;
 mod follow;
 mod forward;
-mod given_up;
-mod held_bytes;
+mod give_up_reason;
 mod http_client;
+mod in_flight;
 mod job;
 mod keyed_log;
 mod limits;
-mod log_duty;
-mod log_news;
-mod log_return;
+mod log_restore;
+mod log_updates;
 mod meters;
-mod operator_side;
+mod operator_api;
 mod peers;
+mod queue_slot;
+mod read_role;
 mod refusal;
 mod relay;
 mod send_failure;
 pub mod serve;
 mod server;
 mod signals;
+mod stall_outcome;
 mod sync_cursor;
-mod try_end;
-mod waiting_place;
 
 pub use call_error::CallError;
 pub use connection::set_socket_options;
@@ -55,6 +54,6 @@
 pub use follow::follow_config;
 pub use http_client::HttpClient;
 pub use keyed_log::{KeyedLog, KeyedLogError, KeyedPage, KeyedRecord, Topic};
-pub use operator_side::{QUARANTINE_PATH, RELEASE_PATH};
+pub use operator_api::{QUARANTINE_PATH, RELEASE_PATH};
 pub use peers::{PeerUpdate, StateQuery, broadcast};
 pub use sync_cursor::SyncCursor;
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -48,7 +48,7 @@
 
     /// Derives the map in use from the experts that the ranks hold, if all ranks reported the same map.
     pub(super) fn apply_held_experts(&mut self, reports: &[Option<HeldExperts>]) {
-        let Some(figures) = self.entry.engine_figures(&self.service) else { return };
+        let Some(figures) = self.entry.engine_spec(&self.service) else { return };
         let all: Option<Vec<&HeldExperts>> = reports.iter().map(Option::as_ref).collect();
         let Some(all) = all else { return };
         let Some(first) = all.first() else { return };
@@ -86,7 +86,7 @@
 
     /// Running requests as a share of the request slots of all ranks.
     fn utilization(&self) -> f64 {
-        let slots = self.entry.engine_figures(&self.service).map_or(1, |figures| figures.slots.max(1));
+        let slots = self.entry.engine_spec(&self.service).map_or(1, |figures| figures.slots.max(1));
         let running: u64 = self.last_round.views.iter().flatten().map(|view| view.running).sum();
         running as f64 / (slots * self.members.size.max(1) as u64) as f64
     }
@@ -122,7 +122,7 @@
     ///
     /// The search runs on a separate thread, so that callers are answered meanwhile.
     async fn plan(&self) -> Option<PlannedMap> {
-        let figures = self.entry.engine_figures(&self.service)?;
+        let figures = self.entry.engine_spec(&self.service)?;
         let (_, placement) = self.controller.current_map()?;
         let demand = self.demand.as_ref().filter(|demand| is_sufficiently_known(demand, &figures))?;
         let arming_ms = self.arming_times.mean_ms();
