--- a/crates/ochreyard-lead/src/leader/hold_rank.rs
+++ b/crates/ochreyard-lead/src/leader/hold_rank.rs
@@ -1,7 +1,7 @@
 //! Requests to the rank that places the holds, between rounds: one rank answers sooner than all of them.
 //!
 //! Holds and releases are sent directly to the engine instead of through its agent. A box that freezes right after
-//! it sent such an order is then the leader's, which another leader replaces within a second, and not the
+//! it sent such an order can then only be that of the leader, which another leader replaces within a second, and not the
 //! box of the rank whose hold blocks the entire group.
 
 use std::rc::Rc;
--- a/crates/ochreyard-lead/src/leader/proposal.rs
+++ b/crates/ochreyard-lead/src/leader/proposal.rs
@@ -7,7 +7,7 @@
 
 use super::{Leader, LeaderSettings};
 
-/// Least mean number of selections per expert that a plan is based on: with fewer, chance
+/// Least mean number of selections per expert and set that a plan is based on: with fewer, chance
 /// decides which experts appear busy.
 const MIN_SELECTIONS_PER_EXPERT: f64 = 4.0;
 /// Time of a change in addition to the copies, in milliseconds: two steps and a few round trips.
