--- a/crates/ochreyard-lead/src/leader/round.rs
+++ b/crates/ochreyard-lead/src/leader/round.rs
@@ -49,9 +49,9 @@
         let requests = self.members.iter().map(|(rank, member)| {
             let request = LeaderRequest { wants_counts: sampled.contains(&rank), ..self.request_for(rank, orders) };
             let message = self.sent_map.with_delta(&request, member.known_map_version);
-            let request = RankRequest { message, orders: request.orders, concurrent_requests: self.members.size };
+            let rank_request = RankRequest { message, orders: request.orders, concurrent_requests: self.members.size };
             let engine = reaches_engines.then(|| self.engine_factory.client_at(member.engine.addr));
-            async move { (rank, send_to_rank(Rc::clone(&member.agent), request, engine).await) }
+            async move { (rank, send_to_rank(Rc::clone(&member.agent), rank_request, engine).await) }
         });
         let mut responses: Vec<Option<AgentResponse>> = (0..self.members.size).map(|_| None).collect();
         for (rank, response) in join_all(requests).await {
--- a/crates/ochreyard-lead/src/members.rs
+++ b/crates/ochreyard-lead/src/members.rs
@@ -81,7 +81,7 @@
         if is_known || !self.matches_view(rank, &discovered.view) {
             return;
         }
-        let member = Member { engine: discovered.engine, agent: discovered.agent, known_map_version: None };
-        self.by_rank.insert(rank, member);
+        self.by_rank
+            .insert(rank, Member { engine: discovered.engine, agent: discovered.agent, known_map_version: None });
     }
 }
--- a/crates/ochreyard-rank/src/server.rs
+++ b/crates/ochreyard-rank/src/server.rs
@@ -62,14 +62,14 @@
     let Ok(body) = Limited::new(request.into_body(), MAX_REQUEST_BYTES).collect().await else {
         return status_only(StatusCode::BAD_REQUEST);
     };
-    let request: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
-        Ok(request) => request,
+    let leader_request: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
+        Ok(leader_request) => leader_request,
         Err(error) => {
             log::warn!("event=ask_unreadable error=\"{error}\"");
             return status_only(StatusCode::BAD_REQUEST);
         }
     };
-    json_response(&agent.handle_request(&request).await)
+    json_response(&agent.handle_request(&leader_request).await)
 }
 
 fn json_response<T: Serialize>(body: &T) -> Response<Full<Bytes>> {
