--- a/crates/ochreyard-stand-ins/src/relay.rs
+++ b/crates/ochreyard-stand-ins/src/relay.rs
@@ -4,8 +4,8 @@
 //! packets would have them: connections stay up and nothing arrives.
 
 mod connection;
-mod cut;
 mod manner;
+mod partition;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use tokio::sync::watch;
 
 use self::connection::relay_one;
-pub use self::cut::Cut;
 use self::manner::Manner;
+pub use self::partition::Partition;
 
 /// A relay before one target.
 #[derive(Debug, Clone)]
@@ -31,12 +31,12 @@
     /// When the address cannot be bound.
     pub async fn start(addr: &str, target: String) -> Self {
         let listener = TcpListener::bind(addr).await.expect("the relay's address is free");
-        Self::on(listener, target)
+        Self::with_listener(listener, target)
     }
 
     /// Relays what comes to `listener` to `target`.
     #[must_use]
-    pub fn on(listener: TcpListener, target: String) -> Self {
+    pub fn with_listener(listener: TcpListener, target: String) -> Self {
         let manner = Arc::new(watch::Sender::new(Manner::default()));
         let relay = Self { manner: Arc::clone(&manner) };
         tokio::spawn(async move {
@@ -48,17 +48,17 @@
     }
 
     /// Cuts or mends.
-    pub fn set(&self, cut: Cut) {
-        self.manner.send_modify(|manner| manner.cut = cut);
+    pub fn set_partition(&self, partition: Partition) {
+        self.manner.send_modify(|manner| manner.partition = partition);
     }
 
     /// Holds each piece back for so long.
-    pub fn slow(&self, delay: Duration) {
+    pub fn set_delay(&self, delay: Duration) {
         self.manner.send_modify(|manner| manner.delay = delay);
     }
 
     /// Resets all connections.
-    pub fn reset(&self) {
+    pub fn reset_connections(&self) {
         self.manner.send_modify(|manner| manner.resets += 1);
     }
 }
--- a/crates/ochreyard-stand-ins/src/relay/connection.rs
+++ b/crates/ochreyard-stand-ins/src/relay/connection.rs
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use super::cut::Cut;
 use super::manner::Manner;
+use super::partition::Partition;
 
 /// Bytes that are taken at once.
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -19,7 +19,7 @@
 pub async fn relay_one(near: TcpStream, target: String, manner: Arc<watch::Sender<Manner>>) {
     // Nobody gets through a cut: not even to make a connection.
     let mut watching = manner.subscribe();
-    if watching.wait_for(|manner| !manner.cut.there).await.is_err() {
+    if watching.wait_for(|manner| !manner.partition.to_target).await.is_err() {
         return;
     }
     let resets = watching.borrow().resets;
@@ -41,8 +41,8 @@
 async fn pass_both(near: &mut TcpStream, far: &mut TcpStream, manner: &watch::Sender<Manner>) {
     let (near_read, near_write) = near.split();
     let (far_read, far_write) = far.split();
-    let there = pass(near_read, far_write, manner.subscribe(), |cut| cut.there);
-    let back = pass(far_read, near_write, manner.subscribe(), |cut| cut.back);
+    let there = pass(near_read, far_write, manner.subscribe(), |partition| partition.to_target);
+    let back = pass(far_read, near_write, manner.subscribe(), |partition| partition.from_target);
     tokio::select! {
         () = there => {}
         () = back => {}
@@ -58,7 +58,7 @@
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
     mut manner: watch::Receiver<Manner>,
-    is_cut: fn(&Cut) -> bool,
+    is_cut: fn(&Partition) -> bool,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
@@ -67,7 +67,7 @@
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if length == 0 || manner.wait_for(|manner| !is_cut(&manner.cut)).await.is_err() {
+        if length == 0 || manner.wait_for(|manner| !is_cut(&manner.partition)).await.is_err() {
             return;
         }
         if to.write_all(&chunk[..length]).await.is_err() {
--- a/crates/ochreyard-stand-ins/src/relay/cut.rs
+++ b/crates/ochreyard-stand-ins/src/relay/partition.rs
@@ -2,9 +2,9 @@
 
 /// Which directions are cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Cut {
+pub struct Partition {
     /// From the one who dials to the target.
-    pub there: bool,
+    pub to_target: bool,
     /// From the target to the one who dials.
-    pub back: bool,
+    pub from_target: bool,
 }
--- a/crates/ochreyard-stand-ins/tests/cuts.rs
+++ b/crates/ochreyard-stand-ins/tests/cuts.rs
@@ -3,7 +3,7 @@
 
 use ochreyard_stand_ins::cluster::{EndpointAt, wait_until};
 use ochreyard_stand_ins::load::{self, Fate};
-use ochreyard_stand_ins::relay::{Cut, Relay};
+use ochreyard_stand_ins::relay::{Partition, Relay};
 use ochreyard_stand_ins::site::{PLAIN, Site, SiteSpec, WORKSPACES, fresh_key};
 use rstest::rstest;
 
@@ -41,20 +41,20 @@
 }
 
 #[rstest]
-#[case::there(Cut { there: true, back: false })]
-#[case::back(Cut { there: false, back: true })]
-#[case::both(Cut { there: true, back: true })]
+#[case::there(Partition { to_target: true, from_target: false })]
+#[case::back(Partition { to_target: false, from_target: true })]
+#[case::both(Partition { to_target: true, from_target: true })]
 #[tokio::test]
-async fn repeatable_work_goes_round_a_cut_and_comes_back_after_it(#[case] cut: Cut) {
+async fn repeatable_work_goes_round_a_cut_and_comes_back_after_it(#[case] cut: Partition) {
     let (site, relay) = start_with_far_endpoint(1).await;
-    relay.set(cut);
+    relay.set_partition(cut);
     let mut callers = tokio::task::JoinSet::new();
     for number in 0..12 {
         let (http, entry) = (site.cluster.http().clone(), site.entries[number % 2].callers.clone());
         callers.spawn(async move { load::fetch(&http, &entry, WORKSPACES[number % 3], PLAIN).await });
     }
     assert_eq!(callers.join_all().await, vec![Fate::Whole; 12]);
-    relay.set(Cut::default());
+    relay.set_partition(Partition::default());
     site.wait_alive().await;
 }
 
@@ -67,10 +67,10 @@
     site.endpoints.retain(|(at, _)| at.endpoint != "plain-1");
     site.wait_alive().await;
     site.wait_for_keys().await;
-    relay.set(Cut { there: false, back: true });
+    relay.set_partition(Partition { to_target: false, from_target: true });
     let key = fresh_key();
     assert_eq!(save(&site, 0, "cut-off", &key).await, Fate::MayHaveRun);
-    relay.set(Cut::default());
+    relay.set_partition(Partition::default());
     site.wait_alive().await;
     wait_until("the kept answer comes", async || save(&site, 1, "cut-off", &key).await == Fate::Whole).await;
     assert_eq!(site.runs("cut-off").await, 1);
@@ -88,7 +88,7 @@
     let extra = "log_poll_ms: 50\nheartbeat_ms: 100\nplatform_timeout_ms: 200";
     let (stale, stale_operators) = site.cluster.start_entry("stale", DC, &format!("http://{relay_addr}"), extra).await;
     site.cluster.wait_alive(&stale_operators, &["plain-1", "plain-2"], site.version).await;
-    relay.set(Cut { there: true, back: true });
+    relay.set_partition(Partition { to_target: true, from_target: true });
     site.restrict(WORKSPACES[0], DC).await;
     let runs = format!("{}/runs", site.url("plain-2"));
     let before = site.cluster.get_json(&runs).await;
@@ -98,7 +98,7 @@
     }
     assert_eq!(site.cluster.get_json(&runs).await, before, "nothing ran in the place that is no longer permitted");
     assert!(fates.iter().all(|fate| matches!(fate, Fate::Whole | Fate::NotRun)), "{fates:?}");
-    relay.set(Cut::default());
+    relay.set_partition(Partition::default());
     site.cluster.wait_alive(&stale_operators, &["plain-1"], site.version).await;
     assert_eq!(load::fetch(site.cluster.http(), &stale, WORKSPACES[0], PLAIN).await, Fate::Whole);
 }
