--- a/crates/ochreyard-entry/src/balancer.rs
+++ b/crates/ochreyard-entry/src/balancer.rs
@@ -141,7 +141,7 @@
     |actor, msg| {
         let HandleFailure { mut dispatch, endpoint, refusal } = msg;
         actor.state.on_refusal(&endpoint, &refusal);
-        let next = dispatch.on_failure(refusal, actor.state.budget(), actor.clock.now_ms());
+        let next = dispatch.on_failure(refusal, actor.state.retry_budget(), actor.clock.now_ms());
         Ok((dispatch, next))
     }
 );
--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -22,8 +22,8 @@
 use crate::balancer::{Admit, Balancer, HandleFailure, LinkLost, Pick, RecordOutcome};
 use crate::state::{AdmittedRequest, PickRequest, Target};
 
-/// Frames, and chunks of the body, of one answer that are buffered for a slow caller.
-const MAX_BUFFERED_PARTS: usize = 4;
+/// Capacity of the channels that buffer the frames, and the chunks of the body, of an answer for a slow caller.
+const ANSWER_BUFFER_CAPACITY: usize = 4;
 /// How long an agent whose connection was lost may take to answer whether an attempt had started.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
@@ -171,7 +171,7 @@
             return Err(Refusal::new(ErrorKind::AnswerBroken));
         };
         let first_body = attempt.next().await?;
-        let (sender, chunks) = mpsc::channel(MAX_BUFFERED_PARTS);
+        let (sender, chunks) = mpsc::channel(ANSWER_BUFFER_CAPACITY);
         attempt.first_body = first_body;
         attempt.chunks = Some(sender);
         Ok(StartedAnswer { answer: CallerAnswer { status, content_type, chunks }, attempt })
@@ -240,7 +240,7 @@
 
 impl Attempt {
     fn start(forwarder: &Forwarder, target: &Target, call: CallRequest, deadline: Instant) -> Self {
-        let (sender, frames) = mpsc::channel(MAX_BUFFERED_PARTS);
+        let (sender, frames) = mpsc::channel(ANSWER_BUFFER_CAPACITY);
         let id = call.offer.attempt;
         let has_key = call.offer.key.is_some();
         let link = target.link.clone();
--- a/crates/ochreyard-entry/src/state.rs
+++ b/crates/ochreyard-entry/src/state.rs
@@ -47,16 +47,16 @@
     identity: EntryIdentity,
     thread: LocalThread,
     fold: ConfigFold,
-    tail: Option<TailRead>,
+    last_tail_read: Option<TailRead>,
     membership: Membership,
     agents: BTreeMap<EndpointId, AgentState>,
     former_homes: BTreeMap<(EndpointId, SocketAddr), FormerHome>,
     tokens: HashMap<String, WorkspaceId>,
     prefixes: HashMap<u64, EndpointId>,
     prefix_order: VecDeque<u64>,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     request_count: u64,
-    burn: BTreeMap<(ServiceId, WorkspaceId), BurnMeter>,
+    burn_meters: BTreeMap<(ServiceId, WorkspaceId), BurnMeter>,
     rounds_with_pending_acks: u64,
     last_snapshot_ms: u64,
 }
@@ -70,16 +70,16 @@
             identity,
             thread,
             fold: ConfigFold::new(),
-            tail: None,
+            last_tail_read: None,
             membership,
             agents: BTreeMap::new(),
             former_homes: BTreeMap::new(),
             tokens: HashMap::new(),
             prefixes: HashMap::new(),
             prefix_order: VecDeque::new(),
-            budget: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             request_count: 0,
-            burn: BTreeMap::new(),
+            burn_meters: BTreeMap::new(),
             rounds_with_pending_acks: 0,
             last_snapshot_ms: now_ms,
         }
@@ -92,8 +92,8 @@
     }
 
     /// Returns the retry budget.
-    pub const fn budget(&mut self) -> &mut RetryBudget {
-        &mut self.budget
+    pub const fn retry_budget(&mut self) -> &mut RetryBudget {
+        &mut self.retry_budget
     }
 
     /// Applies a page of the log that was requested at `started_ms`.
@@ -105,7 +105,7 @@
         }
         let at_end = self.fold.cursor() == page.next_offset;
         if at_end && self.fold.status() == FoldStatus::Following {
-            self.tail = Some(TailRead { started_ms, version: self.fold.version() });
+            self.last_tail_read = Some(TailRead { started_ms, version: self.fold.version() });
         }
         if events.iter().any(|event| matches!(event, FoldEvent::VersionInForce(_))) {
             self.apply_configuration();
@@ -239,7 +239,7 @@
     fn heartbeat_for(&self, endpoint: &EndpointId) -> Heartbeat {
         let entry = self.identity.entry.to_string();
         let member = self.membership.member(endpoint);
-        let verified = member.zip(self.tail).filter(|(member, tail)| tail.started_ms > member.first_seen_ms);
+        let verified = member.zip(self.last_tail_read).filter(|(member, tail)| tail.started_ms > member.first_seen_ms);
         let (verified_for, tail_version) =
             verified.map_or((Incarnation(0), 0), |(member, tail)| (member.report.incarnation, tail.version));
         Heartbeat { entry, verified_for, tail_version }
@@ -262,7 +262,7 @@
             return Err(Refusal::new(ErrorKind::NotPermitted));
         }
         self.request_count += 1;
-        self.budget.on_request();
+        self.retry_budget.on_request();
         Ok(AdmittedRequest {
             workspace: workspace.clone(),
             request_number: self.request_count,
--- a/crates/ochreyard-entry/src/state/report.rs
+++ b/crates/ochreyard-entry/src/state/report.rs
@@ -19,7 +19,7 @@
         late: bool,
         now_ms: u64,
     ) {
-        self.burn.entry((service, workspace)).or_default().record(failure, late, now_ms);
+        self.burn_meters.entry((service, workspace)).or_default().record(failure, late, now_ms);
     }
 
     /// Returns the state of the system as this entry sees it.
@@ -37,7 +37,7 @@
             entry: self.identity.entry.to_string(),
             config_version: self.fold.version(),
             log: log.into(),
-            log_read_age_ms: self.tail.map(|tail| now_ms.saturating_sub(tail.started_ms)),
+            log_read_age_ms: self.last_tail_read.map(|tail| now_ms.saturating_sub(tail.started_ms)),
             endpoints,
         }
     }
@@ -80,6 +80,6 @@
                 spent_by: meter.spent_by(),
             }
         };
-        self.burn.iter_mut().map(burn_row).collect()
+        self.burn_meters.iter_mut().map(burn_row).collect()
     }
 }
