--- a/crates/ochreyard-entry/src/quarantine.rs
+++ b/crates/ochreyard-entry/src/quarantine.rs
@@ -33,7 +33,7 @@
 /// Runs `ochreyard quarantine release`.
 pub fn release(args: &flags::Release) -> Result<()> {
     let fingerprint: Fingerprint = args.fingerprint.parse().into_diagnostic().wrap_err_with(|| {
-        format!("`{}` is not a fingerprint; copy one from `ochreyard quarantine list`", args.fingerprint)
+        format!("`{}` is no fingerprint; take one from `ochreyard quarantine list`", args.fingerprint)
     })?;
     let response = call(args.peer, Request::post(RELEASE_PATH), Bytes::from(fingerprint.to_string()))?;
     match response.status() {
