--- a/crates/ochreyard-agent/src/call.rs
+++ b/crates/ochreyard-agent/src/call.rs
@@ -11,7 +11,7 @@
 use ochreyard_core::ids::{AttemptId, Incarnation};
 use ochreyard_core::membership::AgentReport;
 use ochreyard_endpoint::{CallContext, EndpointAnswer, EndpointClient, EndpointError, EndpointRequest};
-use ochreyard_peer::{AgentHandler, CallEnd, CallRequest, Heartbeat};
+use ochreyard_peer::{AgentHandler, CallOutcome, CallRequest, Heartbeat};
 use tokio::sync::{Notify, mpsc};
 
 use crate::admission_actor::{
@@ -33,8 +33,8 @@
     pub config: std::sync::RwLock<Option<Arc<Configuration>>>,
 }
 
-fn actor_stopped() -> CallEnd {
-    CallEnd::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission has ended"))
+fn actor_stopped() -> CallOutcome {
+    CallOutcome::Refused(Refusal::new(ErrorKind::Internal).with_detail("the admission has ended"))
 }
 
 impl AgentHandler for Agent {
@@ -61,7 +61,7 @@
         }
     }
 
-    async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> CallEnd {
+    async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> CallOutcome {
         let attempt = call.offer.attempt;
         let Ok(mut decision) = self.admission.ask(SubmitOffer(call.offer.clone())).await else {
             return actor_stopped();
@@ -75,10 +75,10 @@
         };
         match decision {
             Ok(AdmissionDecision::Start(cancel)) => self.run(&call, frames, &cancel).await,
-            Ok(AdmissionDecision::Refused(refusal)) => CallEnd::Refused(refusal),
+            Ok(AdmissionDecision::Refused(refusal)) => CallOutcome::Refused(refusal),
             Ok(AdmissionDecision::Replay(answer)) => replay(attempt, &answer, &frames).await,
             Ok(AdmissionDecision::Duplicate) => {
-                CallEnd::Refused(Refusal::new(ErrorKind::Revoked).with_run(RunStatus::MayHaveRun))
+                CallOutcome::Refused(Refusal::new(ErrorKind::Revoked).with_run(RunStatus::MayHaveRun))
             }
             Err(_) => actor_stopped(),
         }
@@ -102,7 +102,7 @@
 
 impl Agent {
     /// Calls the endpoint, and records the outcome before the end of the answer is sent.
-    async fn run(&self, call: &CallRequest, frames: mpsc::Sender<Frame>, cancel: &Notify) -> CallEnd {
+    async fn run(&self, call: &CallRequest, frames: mpsc::Sender<Frame>, cancel: &Notify) -> CallOutcome {
         let offer = &call.offer;
         let mut writer = FrameWriter::new(offer.attempt);
         let streamed = {
@@ -121,7 +121,7 @@
         };
         let (outcome, end) = outcome_and_end(offer, streamed);
         let _ = self.admission.ask(Finish(offer.attempt, outcome)).await;
-        if end == CallEnd::Sent {
+        if end == CallOutcome::Sent {
             let _ = frames.send(writer.end()).await;
         }
         end
@@ -175,36 +175,36 @@
     }
 }
 
-fn outcome_and_end(offer: &Offer, streamed: Result<Streamed, ErrorKind>) -> (Outcome, CallEnd) {
+fn outcome_and_end(offer: &Offer, streamed: Result<Streamed, ErrorKind>) -> (Outcome, CallOutcome) {
     let cost = offer.cost;
     match streamed {
-        Ok(Streamed::Complete(Some(answer))) => (Outcome::ran(cost).with_answer(answer), CallEnd::Sent),
-        Ok(Streamed::Complete(None)) => (Outcome::ran(cost), CallEnd::Sent),
+        Ok(Streamed::Complete(Some(answer))) => (Outcome::ran(cost).with_answer(answer), CallOutcome::Sent),
+        Ok(Streamed::Complete(None)) => (Outcome::ran(cost), CallOutcome::Sent),
         Ok(Streamed::CallerGone) => {
-            (Outcome::may_have_run(cost), CallEnd::Refused(Refusal::new(ErrorKind::CallerGone)))
+            (Outcome::may_have_run(cost), CallOutcome::Refused(Refusal::new(ErrorKind::CallerGone)))
         }
         Ok(Streamed::Failed(error)) => {
             log::warn!("event=endpoint_call_failed attempt={} kind={} error=\"{error}\"", offer.attempt, error.kind());
             let refusal = Refusal::new(error.kind());
             let may_have_run = refusal.run != RunStatus::NotRun;
             let outcome = if may_have_run { Outcome::may_have_run(cost) } else { Outcome::not_run() };
-            (outcome, CallEnd::Refused(refusal))
+            (outcome, CallOutcome::Refused(refusal))
         }
-        Err(kind) => (Outcome::may_have_run(cost), CallEnd::Refused(Refusal::new(kind))),
+        Err(kind) => (Outcome::may_have_run(cost), CallOutcome::Refused(Refusal::new(kind))),
     }
 }
 
-async fn replay(attempt: AttemptId, answer: &StoredAnswer, frames: &mpsc::Sender<Frame>) -> CallEnd {
+async fn replay(attempt: AttemptId, answer: &StoredAnswer, frames: &mpsc::Sender<Frame>) -> CallOutcome {
     let mut writer = FrameWriter::new(attempt);
     let head = FrameBody::Head { status: answer.status, content_type: answer.content_type.clone() };
     let bodies = [head, FrameBody::Data(answer.body.clone())];
     for body in bodies {
         if frames.send(writer.frame(body)).await.is_err() {
-            return CallEnd::Refused(Refusal::new(ErrorKind::CallerGone).with_run(RunStatus::Ran));
+            return CallOutcome::Refused(Refusal::new(ErrorKind::CallerGone).with_run(RunStatus::Ran));
         }
     }
     let _ = frames.send(writer.end()).await;
-    CallEnd::Sent
+    CallOutcome::Sent
 }
 
 /// Collects the answer to a request with an idempotency key, unless it grows too large to store.
--- a/crates/ochreyard-agent/src/main.rs
+++ b/crates/ochreyard-agent/src/main.rs
@@ -12,13 +12,13 @@
 
 use std::process::ExitCode;
 
-use ochreyard_process::{Settings, exit_for_usage, exit_for_version, outlive_hangup};
+use ochreyard_process::{Settings, exit_for_usage, exit_for_version, ignore_hangup};
 
 use crate::fields::FIELDS;
 use crate::flags::{OchreyardAgent, OchreyardAgentCmd};
 
 fn main() -> ExitCode {
-    if let Err(error) = outlive_hangup() {
+    if let Err(error) = ignore_hangup() {
         eprintln!("ochreyard-agent: cannot install the handler for SIGHUP: {error}");
         return ExitCode::FAILURE;
     }
@@ -36,7 +36,7 @@
         }
         OchreyardAgentCmd::Fields(args) => {
             let fields = if args.rank { ochreyard_rank::FIELDS } else { FIELDS };
-            print!("{}", ochreyard_process::reference(fields));
+            print!("{}", ochreyard_process::settings_reference(fields));
             Ok(())
         }
     };
--- a/crates/ochreyard-agent/src/serve.rs
+++ b/crates/ochreyard-agent/src/serve.rs
@@ -13,7 +13,7 @@
 use ochreyard_endpoint::EndpointClient;
 use ochreyard_peer::LocalThread;
 use ochreyard_platform::HttpPlatform;
-use ochreyard_process::{Clock, Settings, keep_metrics_up, start_logging, start_metrics, stop_signal};
+use ochreyard_process::{Clock, Settings, run_metrics_upkeep, start_logging, start_metrics, stop_signal};
 
 use crate::admission_actor::{AdmissionActor, CountRunning, Leave, StepTime, Tick};
 use crate::call::Agent;
@@ -44,7 +44,7 @@
 async fn serve(settings: Settings) -> Result<()> {
     let clock = Clock::start();
     let metrics = start_metrics().map_err(|error| miette::miette!("{error}"))?;
-    tokio::spawn(keep_metrics_up(metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     let incarnation = Incarnation(clock.now_us());
     let admission = Admission::new(admission_settings(&settings), incarnation, clock.now_ms());
     let admission = AdmissionActor::spawn(AdmissionActor::new(admission, clock));
--- a/crates/ochreyard-direct/src/serve.rs
+++ b/crates/ochreyard-direct/src/serve.rs
@@ -6,7 +6,9 @@
 
 use miette::{Context, IntoDiagnostic, Result};
 use ochreyard_core::direct::{BoxRecord, RetryBudgetLimits};
-use ochreyard_process::{Clock, Settings, SuspensionWatch, keep_metrics_up, new_life, start_logging, start_metrics};
+use ochreyard_process::{
+    Clock, Settings, SuspensionDetector, new_incarnation, run_metrics_upkeep, start_logging, start_metrics,
+};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -96,7 +98,7 @@
             metrics.clone(),
         ));
     }
-    tokio::task::spawn_local(keep_metrics_up(metrics));
+    tokio::task::spawn_local(run_metrics_upkeep(metrics));
     start_followers(settings, &entry, log);
     companion(&entry);
 
@@ -110,7 +112,7 @@
     Identity {
         name: settings.text("entry").to_owned(),
         data_centre: settings.text("data_centre").to_owned(),
-        incarnation: new_life(settings.text("entry")),
+        incarnation: new_incarnation(settings.text("entry")),
         record: BoxRecord {
             addr: settings.addr("peer_addr"),
             data_centre: settings.text("data_centre").to_owned(),
@@ -170,10 +172,10 @@
 /// Detects that the machine was suspended. State with an age has grown older by that time and is judged accordingly.
 /// Connections have no age and are dropped, since their peers may have closed them.
 async fn watch_suspensions<D: Dialect>(entry: Rc<Entry<D>>) {
-    let mut watch = SuspensionWatch::start();
+    let mut detector = SuspensionDetector::start();
     loop {
         tokio::time::sleep(SUSPENSION_CHECK_INTERVAL).await;
-        if let Some(suspended) = watch.look() {
+        if let Some(suspended) = detector.poll() {
             log::warn!("event=suspended for_ms={}", suspended.as_millis());
             entry.drop_connections();
         }
--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -13,7 +13,7 @@
 use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::frame::{FrameAction, FrameBody, FrameReader};
 use ochreyard_core::ids::{AttemptId, Incarnation};
-use ochreyard_peer::{CallEnd, CallRequest, LinkError, ServiceRequest};
+use ochreyard_peer::{CallOutcome, CallRequest, LinkError, ServiceRequest};
 use ochreyard_process::Clock;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -228,8 +228,8 @@
     balancer: ActorRef<Balancer>,
     reader: FrameReader,
     frames: mpsc::Receiver<ochreyard_core::frame::Frame>,
-    call: JoinHandle<Result<CallEnd, LinkError>>,
-    end: Option<Result<CallEnd, LinkError>>,
+    call: JoinHandle<Result<CallOutcome, LinkError>>,
+    end: Option<Result<CallOutcome, LinkError>>,
     deadline: Instant,
     first: Option<FrameBody>,
     parts: Option<mpsc::Sender<Part>>,
@@ -293,8 +293,8 @@
     /// Why the frames ended before the answer was whole.
     async fn explain_end(&self) -> Refusal {
         match &self.end {
-            Some(Ok(CallEnd::Refused(refusal))) => refusal.clone(),
-            Some(Ok(CallEnd::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
+            Some(Ok(CallOutcome::Refused(refusal))) => refusal.clone(),
+            Some(Ok(CallOutcome::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
             Some(Err(error @ LinkError::NotSent { .. })) => {
                 let _ = self.balancer.tell(LinkBroke { endpoint: self.target.endpoint.clone() }).await;
                 let kind = if self.keyed { ErrorKind::KeyHomeUnreachable } else { ErrorKind::EndpointDown };
@@ -339,7 +339,7 @@
     }
 }
 
-fn joined(result: Result<Result<CallEnd, LinkError>, tokio::task::JoinError>) -> Result<CallEnd, LinkError> {
+fn joined(result: Result<Result<CallOutcome, LinkError>, tokio::task::JoinError>) -> Result<CallOutcome, LinkError> {
     result.unwrap_or_else(|error| Err(LinkError::Lost { problem: error.to_string() }))
 }
 
--- a/crates/ochreyard-entry/src/main.rs
+++ b/crates/ochreyard-entry/src/main.rs
@@ -14,13 +14,13 @@
 
 use std::process::ExitCode;
 
-use ochreyard_process::{Settings, exit_for_usage, exit_for_version, outlive_hangup};
+use ochreyard_process::{Settings, exit_for_usage, exit_for_version, ignore_hangup};
 
 use crate::fields::FIELDS;
 use crate::flags::{Ochreyard, OchreyardCmd, QuarantineCmd, ReportCmd};
 
 fn main() -> ExitCode {
-    if let Err(error) = outlive_hangup() {
+    if let Err(error) = ignore_hangup() {
         eprintln!("ochreyard: SIGHUP cannot be taken: {error}");
         return ExitCode::FAILURE;
     }
@@ -47,7 +47,7 @@
         }
         OchreyardCmd::Fields(args) => {
             let fields = if args.direct { direct::fields() } else { FIELDS.to_vec() };
-            print!("{}", ochreyard_process::reference(&fields));
+            print!("{}", ochreyard_process::settings_reference(&fields));
             Ok(())
         }
         OchreyardCmd::Plan(args) => operate::plan(&args),
--- a/crates/ochreyard-entry/src/serve.rs
+++ b/crates/ochreyard-entry/src/serve.rs
@@ -14,9 +14,9 @@
 use ochreyard_core::ids::Incarnation;
 use ochreyard_core::membership::HeartbeatTimeouts;
 use ochreyard_core::routing::Policy;
-use ochreyard_peer::{LocalThread, StateSource};
+use ochreyard_peer::{ConfigurationSource, LocalThread};
 use ochreyard_platform::HttpPlatform;
-use ochreyard_process::{Clock, Settings, keep_metrics_up, start_logging, start_metrics, stop_signal};
+use ochreyard_process::{Clock, Settings, run_metrics_upkeep, start_logging, start_metrics, stop_signal};
 use tokio::net::TcpListener;
 
 use crate::balancer::{Balancer, GetConfig};
@@ -45,7 +45,7 @@
     let clock = Clock::start();
     let incarnation = Incarnation(clock.now_us());
     let metrics = start_metrics().map_err(|error| miette::miette!("{error}"))?;
-    tokio::spawn(keep_metrics_up(metrics.clone()));
+    tokio::spawn(run_metrics_upkeep(metrics.clone()));
     let log = HttpPlatform::new(settings.text("platform_url"), CONFIG_STREAM, settings.number("platform_timeout_ms"))
         .into_diagnostic()?;
     let identity = EntryIdentity {
@@ -112,14 +112,14 @@
         .into_diagnostic()
         .wrap_err_with(|| format!("field `peer_addr`: {addr} cannot be bound; choose a free address"))?;
     let source = Arc::new(BalancerState(balancer.clone()));
-    ochreyard_peer::serve_state(thread, listener, token.clone(), source);
+    ochreyard_peer::serve_configuration(thread, listener, token.clone(), source);
     Ok(Peers { addrs: settings.addrs("peers"), token, thread: thread.clone() })
 }
 
 struct BalancerState(ActorRef<Balancer>);
 
-impl StateSource for BalancerState {
-    async fn state(&self) -> Option<Arc<Configuration>> {
+impl ConfigurationSource for BalancerState {
+    async fn configuration(&self) -> Option<Arc<Configuration>> {
         self.0.ask(GetConfig {}).await.ok().flatten()
     }
 }
--- a/crates/ochreyard-entry/src/upkeep.rs
+++ b/crates/ochreyard-entry/src/upkeep.rs
@@ -7,7 +7,7 @@
 
 use kameo::actor::ActorRef;
 use ochreyard_core::config::{ConfigRecord, FoldEvent};
-use ochreyard_peer::{AgentLink, LinkError, LocalThread, fetch_state};
+use ochreyard_peer::{AgentLink, LinkError, LocalThread, fetch_configuration};
 use ochreyard_platform::{BoxList, BoxState, LogStream, PlatformError};
 use ochreyard_process::Clock;
 
@@ -76,7 +76,7 @@
     /// Takes over the newest configuration among the reachable peers.
     async fn ask(&self, balancer: &ActorRef<Balancer>) {
         for addr in &self.addrs {
-            let Ok(Some(config)) = fetch_state(&self.thread, *addr, self.token.clone()).await else { continue };
+            let Ok(Some(config)) = fetch_configuration(&self.thread, *addr, self.token.clone()).await else { continue };
             let version = config.version();
             if balancer.ask(Adopt { config: Arc::new(config) }).await.unwrap_or(false) {
                 log::info!("event=config_from_peer peer={addr} version={version}");
--- a/crates/ochreyard-peer/src/entry_door.rs
+++ b/crates/ochreyard-peer/src/entry_door.rs
@@ -18,9 +18,9 @@
 use crate::wire;
 
 /// An entry that tells others its configuration.
-pub trait StateSource: Send + Sync + 'static {
+pub trait ConfigurationSource: Send + Sync + 'static {
     /// The configuration in force, once there is one.
-    fn state(&self) -> impl Future<Output = Option<Arc<Configuration>>> + Send;
+    fn configuration(&self) -> impl Future<Output = Option<Arc<Configuration>>> + Send;
 }
 
 /// Tells other entries the configuration, on `listener`, until the thread ends.
@@ -28,7 +28,7 @@
 /// # Panics
 ///
 /// When called outside a Tokio executor.
-pub fn serve_state<S: StateSource>(
+pub fn serve_configuration<S: ConfigurationSource>(
     thread: &LocalThread,
     listener: std::net::TcpListener,
     token: String,
@@ -47,7 +47,7 @@
     executor: Handle,
 }
 
-impl<S: StateSource> entry_door::Server for EntryServer<S> {
+impl<S: ConfigurationSource> entry_door::Server for EntryServer<S> {
     async fn state(
         self: Rc<Self>,
         params: entry_door::StateParams,
@@ -55,7 +55,7 @@
     ) -> Result<(), Error> {
         wire::check_token(params.get()?.get_token()?.as_bytes(), &self.token)?;
         let source = Arc::clone(&self.source);
-        let state = self.executor.spawn(async move { source.state().await }).await;
+        let state = self.executor.spawn(async move { source.configuration().await }).await;
         let state = state.map_err(|error| Error::failed(error.to_string()))?;
         if let Some(state) = state {
             let bytes = serde_json::to_vec(&*state).map_err(|error| Error::failed(error.to_string()))?;
@@ -70,7 +70,7 @@
 /// # Errors
 ///
 /// [`LinkError`] when it gave no answer that can be read.
-pub async fn fetch_state(
+pub async fn fetch_configuration(
     thread: &LocalThread,
     addr: SocketAddr,
     token: String,
--- a/crates/ochreyard-peer/src/handler.rs
+++ b/crates/ochreyard-peer/src/handler.rs
@@ -10,7 +10,7 @@
 use ochreyard_core::membership::AgentReport;
 use tokio::sync::mpsc;
 
-use crate::message::{CallEnd, CallRequest, Heartbeat};
+use crate::message::{CallOutcome, CallRequest, Heartbeat};
 
 /// An agent that answers entries.
 pub trait AgentHandler: Send + Sync + 'static {
@@ -24,7 +24,7 @@
     fn extend(&self, delta: Delta) -> impl Future<Output = u64> + Send;
 
     /// Runs a call; frames of the answer go to `frames`, which is closed when the caller has gone.
-    fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> impl Future<Output = CallEnd> + Send;
+    fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> impl Future<Output = CallOutcome> + Send;
 
     /// The caller of an attempt has gone.
     fn cancel(&self, attempt: AttemptId) -> impl Future<Output = ()> + Send;
--- a/crates/ochreyard-peer/src/lib.rs
+++ b/crates/ochreyard-peer/src/lib.rs
@@ -20,9 +20,9 @@
 mod server;
 mod wire;
 
-pub use entry_door::{StateSource, fetch_state, serve_state};
+pub use entry_door::{ConfigurationSource, fetch_configuration, serve_configuration};
 pub use handler::AgentHandler;
 pub use link::{AgentLink, LinkError};
 pub use local_thread::LocalThread;
-pub use message::{CallEnd, CallRequest, Heartbeat, ServiceRequest};
+pub use message::{CallOutcome, CallRequest, Heartbeat, ServiceRequest};
 pub use server::serve;
--- a/crates/ochreyard-peer/src/link.rs
+++ b/crates/ochreyard-peer/src/link.rs
@@ -16,7 +16,7 @@
 use crate::agent_capnp::{agent, door, frame_sink};
 use crate::convert;
 use crate::local_thread::LocalThread;
-use crate::message::{CallEnd, CallRequest, Heartbeat};
+use crate::message::{CallOutcome, CallRequest, Heartbeat};
 use crate::wire::{self, Dialled};
 
 /// Why the link gave no answer.
@@ -44,7 +44,7 @@
     Heartbeat(Heartbeat, Reply<AgentReport>),
     Configure(Arc<Configuration>, Reply<u64>),
     Extend(Delta, Reply<u64>),
-    Call(Box<CallRequest>, mpsc::Sender<Frame>, Reply<CallEnd>),
+    Call(Box<CallRequest>, mpsc::Sender<Frame>, Reply<CallOutcome>),
     Revoke(AttemptId, Incarnation, Reply<RevokeAnswer>),
     Reset,
 }
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// [`LinkError`] when the agent's word on the end did not come.
-    pub async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> Result<CallEnd, LinkError> {
+    pub async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> Result<CallOutcome, LinkError> {
         self.ask(|reply| Command::Call(Box::new(call), frames, reply)).await
     }
 
@@ -226,7 +226,11 @@
     Ok(answer.get()?.get_version())
 }
 
-async fn make_call(agent: &agent::Client, call: &CallRequest, frames: mpsc::Sender<Frame>) -> Result<CallEnd, Error> {
+async fn make_call(
+    agent: &agent::Client,
+    call: &CallRequest,
+    frames: mpsc::Sender<Frame>,
+) -> Result<CallOutcome, Error> {
     let mut request = agent.call_request();
     let mut params = request.get();
     convert::write_offer(params.reborrow().init_offer(), &call.offer);
@@ -238,9 +242,9 @@
             let answer = answer?;
             let answer = answer.get()?;
             if answer.get_refused() {
-                return Ok(CallEnd::Refused(convert::read_refusal(answer.get_refusal()?)?));
+                return Ok(CallOutcome::Refused(convert::read_refusal(answer.get_refusal()?)?));
             }
-            Ok(CallEnd::Sent)
+            Ok(CallOutcome::Sent)
         }
         () = frames.closed() => {
             let mut cancel = agent.cancel_request();
--- a/crates/ochreyard-peer/src/message.rs
+++ b/crates/ochreyard-peer/src/message.rs
@@ -40,7 +40,7 @@
 
 /// How a call ended at the agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// All frames were sent; whether they arrived whole is for the entry to check.
     Sent,
     /// It was refused or broke off.
--- a/crates/ochreyard-peer/src/server.rs
+++ b/crates/ochreyard-peer/src/server.rs
@@ -15,7 +15,7 @@
 use crate::convert;
 use crate::handler::AgentHandler;
 use crate::local_thread::LocalThread;
-use crate::message::{CallEnd, CallRequest, Heartbeat};
+use crate::message::{CallOutcome, CallRequest, Heartbeat};
 use crate::wire;
 
 /// Frames of one call that wait for the link.
@@ -117,7 +117,7 @@
         let work = self.on_executor(async move { handler.call(call, frames).await });
         let (end, pushed) = futures::future::join(work, push_all(outbox, sink)).await;
         pushed?;
-        if let CallEnd::Refused(refusal) = end? {
+        if let CallOutcome::Refused(refusal) = end? {
             results.get().set_refused(true);
             convert::write_refusal(results.get().init_refusal(), &refusal);
         }
--- a/crates/ochreyard-process/src/clock.rs
+++ b/crates/ochreyard-process/src/clock.rs
@@ -23,7 +23,7 @@
     /// Starts from the present wall clock.
     #[must_use]
     pub fn start() -> Self {
-        Self::with_source(since_boot)
+        Self::with_source(time_since_boot)
     }
 
     /// Starts from the present wall clock, and runs with another source.
@@ -49,13 +49,13 @@
 
 /// Time since the machine was started, with the time for which it was suspended.
 #[must_use]
-pub fn since_boot() -> Duration {
+pub fn time_since_boot() -> Duration {
     of(ClockId::Boottime)
 }
 
 /// Time for which the machine has run.
 #[must_use]
-pub fn running() -> Duration {
+pub fn monotonic_time() -> Duration {
     of(ClockId::Monotonic)
 }
 
--- a/crates/ochreyard-process/src/life.rs
+++ b/crates/ochreyard-process/src/incarnation.rs
@@ -7,7 +7,7 @@
 /// name of the box and the time. The time alone is not enough, since many boxes
 /// start in the same microsecond.
 #[must_use]
-pub fn new_life(name: &str) -> u64 {
+pub fn new_incarnation(name: &str) -> u64 {
     let mut hasher = RandomState::new().build_hasher();
     hasher.write(name.as_bytes());
     hasher.write_u32(std::process::id());
--- a/crates/ochreyard-process/src/lib.rs
+++ b/crates/ochreyard-process/src/lib.rs
@@ -1,19 +1,19 @@
 //! What both programs share: checked settings, log lines, clock, exit codes.
 
 mod clock;
-mod life;
+mod incarnation;
 mod logging;
 mod settings;
 mod stop;
 mod suspension;
 mod usage;
 
-pub use clock::{Clock, TimeSource, running, since_boot};
-pub use life::new_life;
-pub use logging::{LOG_LEVEL, LOG_LINES_PER_S, LOG_TARGET, LineBudget, Output, event_of, start_logging};
-pub use settings::{FieldKind, FieldSpec, Settings, SettingsFault, SettingsFaults, reference};
-pub use stop::{outlive_hangup, stop_signal};
-pub use suspension::SuspensionWatch;
+pub use clock::{Clock, TimeSource, monotonic_time, time_since_boot};
+pub use incarnation::new_incarnation;
+pub use logging::{LOG_LEVEL, LOG_LINES_PER_S, LOG_TARGET, LogOutput, LogRateLimiter, event_name, start_logging};
+pub use settings::{FieldError, FieldKind, FieldSpec, Settings, SettingsError, settings_reference};
+pub use stop::{ignore_hangup, stop_signal};
+pub use suspension::SuspensionDetector;
 pub use usage::{exit_for_usage, exit_for_version};
 
 use std::time::Duration;
@@ -40,7 +40,7 @@
 
 /// Keeps the recorder's memory bounded until the process ends: without it, what is
 /// measured between two scrapes piles up.
-pub async fn keep_metrics_up(handle: PrometheusHandle) {
+pub async fn run_metrics_upkeep(handle: PrometheusHandle) {
     loop {
         tokio::time::sleep(UPKEEP_EVERY).await;
         handle.run_upkeep();
--- a/crates/ochreyard-process/src/logging.rs
+++ b/crates/ochreyard-process/src/logging.rs
@@ -1,15 +1,15 @@
 //! One line of key=value pairs for each event, bounded in number and never waited for.
 
-mod line_budget;
 mod output;
+mod rate_limiter;
 
 use std::io::Write;
 use std::os::fd::AsFd;
 use std::sync::Arc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-pub use self::line_budget::{LineBudget, event_of};
-pub use self::output::Output;
+pub use self::output::LogOutput;
+pub use self::rate_limiter::{LogRateLimiter, event_name};
 use crate::settings::{FieldKind, FieldSpec, Settings};
 
 /// The setting for the least level of log lines.
@@ -63,6 +63,6 @@
 }
 
 fn bounded(stream: impl Write + AsFd + Send + 'static, lines_per_s: u64) -> fern::Output {
-    let output = Arc::new(Output::new(stream, lines_per_s));
+    let output = Arc::new(LogOutput::new(stream, lines_per_s));
     fern::Output::call(move |record| output.write(&record.args().to_string()))
 }
--- a/crates/ochreyard-process/src/logging/output.rs
+++ b/crates/ochreyard-process/src/logging/output.rs
@@ -7,20 +7,20 @@
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-use super::line_budget::{LineBudget, event_of};
+use super::rate_limiter::{LogRateLimiter, event_name};
 
 /// Longest line, in bytes. A pipe that can be written to takes this many at once (`PIPE_BUF`).
 const MAX_LINE_BYTES: usize = 4_096;
 
 /// A stream that log lines go to.
-pub struct Output<W> {
-    state: Mutex<(LineBudget, W)>,
+pub struct LogOutput<W> {
+    state: Mutex<(LogRateLimiter, W)>,
 }
 
-impl<W: Write + AsFd> Output<W> {
+impl<W: Write + AsFd> LogOutput<W> {
     /// Writes to `stream`, and at most `lines_per_s` lines of each event a second.
     pub fn new(stream: W, lines_per_s: u64) -> Self {
-        Self { state: Mutex::new((LineBudget::new(lines_per_s), stream)) }
+        Self { state: Mutex::new((LogRateLimiter::new(lines_per_s), stream)) }
     }
 
     /// Writes a line, unless too many of its event came, or nobody reads the stream.
@@ -28,12 +28,12 @@
         let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
         let Ok(mut state) = self.state.lock() else { return };
         let (budget, stream) = &mut *state;
-        let event = event_of(line);
+        let event = event_name(line);
         let Some(left_out) = budget.admit(event, u64::try_from(now_ms).unwrap_or(u64::MAX)) else { return };
         let line = if left_out == 0 { format!("{line}\n") } else { format!("{line} left_out={left_out}\n") };
         let is_written = takes_a_line(stream) && stream.write_all(cut(line).as_bytes()).is_ok();
         if !is_written {
-            budget.give_back(event, left_out);
+            budget.count_unwritten(event, left_out);
         }
     }
 }
--- a/crates/ochreyard-process/src/logging/line_budget.rs
+++ b/crates/ochreyard-process/src/logging/rate_limiter.rs
@@ -17,12 +17,12 @@
 
 /// Bounds the lines of each event in every second, and counts what is left out.
 #[derive(Debug, Clone, Default)]
-pub struct LineBudget {
+pub struct LogRateLimiter {
     lines_per_s: u64,
     by_event: HashMap<String, Counted>,
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// At most `lines_per_s` lines of each event in every second.
     #[must_use]
     pub fn new(lines_per_s: u64) -> Self {
@@ -47,7 +47,7 @@
     }
 
     /// A line that was admitted after `left_out` others could not be written.
-    pub fn give_back(&mut self, event: &str, left_out: u64) {
+    pub fn count_unwritten(&mut self, event: &str, left_out: u64) {
         self.counted(event).left_out += left_out + 1;
     }
 
@@ -63,7 +63,7 @@
 
 /// The name of the event that a line tells of; empty where it names none.
 #[must_use]
-pub fn event_of(line: &str) -> &str {
+pub fn event_name(line: &str) -> &str {
     let after = line.split_once("event=").map_or("", |(_, after)| after);
     after.split([' ', '\n']).next().unwrap_or_default()
 }
--- a/crates/ochreyard-process/src/settings.rs
+++ b/crates/ochreyard-process/src/settings.rs
@@ -50,7 +50,7 @@
 /// One fault, with the fix.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}field `{field}` {problem}", at_line(*.line))]
-pub struct SettingsFault {
+pub struct FieldError {
     /// Line in the file, from 1; 0 when the field is missing.
     pub line: usize,
     /// The field.
@@ -66,7 +66,7 @@
     if line == 0 { String::new() } else { format!("line {line}: ") }
 }
 
-impl Diagnostic for SettingsFault {
+impl Diagnostic for FieldError {
     fn help<'a>(&'a self) -> Option<Box<dyn std::fmt::Display + 'a>> {
         Some(Box::new(&self.fix))
     }
@@ -79,22 +79,22 @@
 
 /// All faults of a file.
 #[derive(Debug, thiserror::Error)]
-#[error("the settings in {file} have faults: {}", .faults.len())]
-pub struct SettingsFaults {
+#[error("the settings in {file} have faults: {}", .field_errors.len())]
+pub struct SettingsError {
     /// The file.
     pub file: String,
     /// The faults, in the order of the file.
-    pub faults: Vec<SettingsFault>,
+    pub field_errors: Vec<FieldError>,
     source_text: NamedSource<String>,
 }
 
-impl Diagnostic for SettingsFaults {
+impl Diagnostic for SettingsError {
     fn source_code(&self) -> Option<&dyn miette::SourceCode> {
         Some(&self.source_text)
     }
 
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn Diagnostic> + 'a>> {
-        Some(Box::new(self.faults.iter().map(|fault| fault as &dyn Diagnostic)))
+        Some(Box::new(self.field_errors.iter().map(|fault| fault as &dyn Diagnostic)))
     }
 }
 
@@ -110,14 +110,14 @@
     /// # Errors
     ///
     /// All faults at once.
-    pub fn read(path: &Path, fields: &[FieldSpec]) -> Result<Self, SettingsFaults> {
+    pub fn read(path: &Path, fields: &[FieldSpec]) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
             Ok(text) => Self::parse(&file, &text, fields),
             Err(error) => {
                 let fix = "name a file that can be read".to_owned();
                 let fault = missing("(file)", error.to_string(), fix);
-                Err(SettingsFaults { file: file.clone(), faults: vec![fault], source_text: named(&file, "") })
+                Err(SettingsError { file: file.clone(), field_errors: vec![fault], source_text: named(&file, "") })
             }
         }
     }
@@ -127,28 +127,29 @@
     /// # Errors
     ///
     /// All faults at once.
-    pub fn parse(file: &str, text: &str, fields: &[FieldSpec]) -> Result<Self, SettingsFaults> {
-        let failed = |faults| SettingsFaults { file: file.to_owned(), faults, source_text: named(file, text) };
+    pub fn parse(file: &str, text: &str, fields: &[FieldSpec]) -> Result<Self, SettingsError> {
+        let failed =
+            |field_errors| SettingsError { file: file.to_owned(), field_errors, source_text: named(file, text) };
         let given: BTreeMap<String, Value> = match serde_saphyr::from_str(text) {
             Ok(given) => given,
             Err(error) => return Err(failed(vec![syntax_fault(text, &error)])),
         };
-        let mut faults = unknown_fields(text, &given, fields);
+        let mut field_errors = unknown_fields(text, &given, fields);
         let mut values = BTreeMap::new();
         for spec in fields {
             match value_of(spec, &given) {
                 Ok(value) => drop(values.insert(spec.name, value)),
                 Err((problem, fix)) if given.contains_key(spec.name) => {
-                    faults.push(fault_at(text, spec.name, problem, fix));
+                    field_errors.push(fault_at(text, spec.name, problem, fix));
                 }
-                Err((problem, fix)) => faults.push(missing(spec.name, problem, fix)),
+                Err((problem, fix)) => field_errors.push(missing(spec.name, problem, fix)),
             }
         }
-        if faults.is_empty() {
+        if field_errors.is_empty() {
             return Ok(Self { values });
         }
-        faults.sort_by_key(|fault| fault.line);
-        Err(failed(faults))
+        field_errors.sort_by_key(|fault| fault.line);
+        Err(failed(field_errors))
     }
 
     /// A field as text.
@@ -218,7 +219,7 @@
 
 /// The reference of all fields, as a table in Markdown.
 #[must_use]
-pub fn reference(fields: &[FieldSpec]) -> String {
+pub fn settings_reference(fields: &[FieldSpec]) -> String {
     let mut out = "| field | holds | default | for |\n|---|---|---|---|\n".to_owned();
     for spec in fields {
         let default = spec.default.map_or("must be given".to_owned(), |d| format!("`{d}`"));
@@ -231,14 +232,14 @@
     NamedSource::new(file, text.to_owned())
 }
 
-fn syntax_fault(text: &str, error: &serde_saphyr::Error) -> SettingsFault {
+fn syntax_fault(text: &str, error: &serde_saphyr::Error) -> FieldError {
     let line = error.location().map_or(1, |at| usize::try_from(at.line()).unwrap_or(1));
     let problem = error.to_string().lines().next().unwrap_or("cannot be read").to_owned();
     let fix = "write a YAML map of field: value lines, each field once".to_owned();
-    SettingsFault { line, field: "(syntax)".into(), problem, fix, span: line_span(text, line) }
+    FieldError { line, field: "(syntax)".into(), problem, fix, span: line_span(text, line) }
 }
 
-fn unknown_fields(text: &str, given: &BTreeMap<String, Value>, fields: &[FieldSpec]) -> Vec<SettingsFault> {
+fn unknown_fields(text: &str, given: &BTreeMap<String, Value>, fields: &[FieldSpec]) -> Vec<FieldError> {
     let unknown = given.keys().filter(|name| !fields.iter().any(|spec| spec.name == name.as_str()));
     unknown
         .map(|name| {
@@ -351,14 +352,14 @@
     }
 }
 
-fn missing(field: &str, problem: String, fix: String) -> SettingsFault {
-    SettingsFault { line: 0, field: field.into(), problem, fix, span: (0, 0) }
+fn missing(field: &str, problem: String, fix: String) -> FieldError {
+    FieldError { line: 0, field: field.into(), problem, fix, span: (0, 0) }
 }
 
-fn fault_at(text: &str, field: &str, problem: String, fix: String) -> SettingsFault {
+fn fault_at(text: &str, field: &str, problem: String, fix: String) -> FieldError {
     let names_it = |line: &str| line.strip_prefix(field).is_some_and(|rest| rest.trim_start().starts_with(':'));
     let line = text.lines().position(names_it).map_or(0, |at| at + 1);
-    SettingsFault { line, field: field.into(), problem, fix, span: line_span(text, line) }
+    FieldError { line, field: field.into(), problem, fix, span: line_span(text, line) }
 }
 
 fn line_span(text: &str, line: usize) -> (usize, usize) {
--- a/crates/ochreyard-process/src/stop.rs
+++ b/crates/ochreyard-process/src/stop.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// When the system refuses it.
-pub fn outlive_hangup() -> std::io::Result<()> {
+pub fn ignore_hangup() -> std::io::Result<()> {
     signal_hook::flag::register(SIGHUP, Arc::new(AtomicBool::new(false))).map(drop)
 }
 
--- a/crates/ochreyard-process/tests/settings.rs
+++ b/crates/ochreyard-process/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings are checked as a whole, and every fault names line, field and fix.
 
-use ochreyard_process::{FieldKind, FieldSpec, Settings, reference};
+use ochreyard_process::{FieldKind, FieldSpec, Settings, settings_reference};
 use rstest::rstest;
 
 const FIELDS: &[FieldSpec] = &[
@@ -30,8 +30,8 @@
 #[case::twice("entry: e-2", 3, "(syntax)", "each field once")]
 fn a_fault_names_line_field_and_fix(#[case] line: &str, #[case] at: usize, #[case] field: &str, #[case] fix: &str) {
     let error = Settings::parse("f", &format!("{GOOD}{line}\n"), FIELDS).unwrap_err();
-    assert_eq!(error.faults.len(), 1, "{:?}", error.faults);
-    let fault = &error.faults[0];
+    assert_eq!(error.field_errors.len(), 1, "{:?}", error.field_errors);
+    let fault = &error.field_errors[0];
     assert_eq!((fault.line, fault.field.as_str()), (at, field));
     assert!(fault.fix.contains(fix), "{}", fault.fix);
 }
@@ -39,13 +39,13 @@
 #[test]
 fn all_faults_are_listed_at_once() {
     let error = Settings::parse("f", "entry: E\npoll_ms: 0\nnonsense: 1\n", FIELDS).unwrap_err();
-    let fields: Vec<&str> = error.faults.iter().map(|fault| fault.field.as_str()).collect();
+    let fields: Vec<&str> = error.field_errors.iter().map(|fault| fault.field.as_str()).collect();
     assert_eq!(fields, ["callers_addr", "entry", "poll_ms", "nonsense"]);
 }
 
 #[test]
 fn the_reference_names_every_field_with_its_default() {
-    let table = reference(FIELDS);
+    let table = settings_reference(FIELDS);
     assert!(FIELDS.iter().all(|spec| table.contains(spec.name)));
     assert!(table.contains("`50`") && table.contains("must be given"));
 }
--- a/crates/ochreyard-rank/src/serve.rs
+++ b/crates/ochreyard-rank/src/serve.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use miette::{Context, IntoDiagnostic, Result};
-use ochreyard_process::{Clock, Settings, new_life, start_logging, stop_signal};
+use ochreyard_process::{Clock, Settings, new_incarnation, start_logging, stop_signal};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -24,7 +24,7 @@
 
 async fn serve<S: EngineFactory>(settings: &Settings, engines: &S) -> Result<()> {
     let (engine_addr, peer_addr) = (settings.addr("engine_addr"), settings.addr("peer_addr"));
-    let life = new_life(settings.text("agent"));
+    let life = new_incarnation(settings.text("agent"));
     log::info!("event=agent_started agent={} life={life} engine={engine_addr}", settings.text("agent"));
     let agent = Agent::new(engines.client_at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
     let problem = || format!("field `peer_addr`: {peer_addr} cannot be bound; choose a free address");
