--- a/crates/ochreyard-process/src/clock.rs
+++ b/crates/ochreyard-process/src/clock.rs
@@ -1,17 +1,17 @@
-//! Time for the decisions: never jumps back, and goes on while the machine is suspended.
+//! The clock for leases and deadlines: it never goes back, and it advances while the box is suspended.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Time that runs evenly from some moment on.
+/// A monotonic time source: the time that has passed since a fixed moment.
 pub type TimeSource = fn() -> Duration;
 
-/// A clock in milliseconds since 1970. It runs with the system's time since boot, so a correction of the
-/// wall clock does not make it jump.
+/// A clock in milliseconds since the Unix epoch. It reads the wall clock once and then advances with the system's time
+/// since boot, so that a correction of the wall clock does not make it jump.
 ///
-/// The steady clock of the standard library stands still while a machine is suspended. By it, leases, deadlines
-/// and what others told would be as young after seconds of that as before.
+/// [`std::time::Instant`] stops while a box is suspended. Measured with it, leases, deadlines and reports of other
+/// boxes would not age during a suspension.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base_us: u64,
@@ -20,26 +20,26 @@
 }
 
 impl Clock {
-    /// Starts from the present wall clock.
+    /// Creates a clock that starts at the present wall-clock time.
     #[must_use]
     pub fn start() -> Self {
         Self::with_source(time_since_boot)
     }
 
-    /// Starts from the present wall clock, and runs with another source.
+    /// Creates a clock that starts at the present wall-clock time and advances with `source`.
     #[must_use]
     pub fn with_source(source: TimeSource) -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { base_us: u64::try_from(since_epoch.as_micros()).unwrap_or(0), started: source(), source }
     }
 
-    /// The present time, in milliseconds since 1970.
+    /// Returns the present time, in milliseconds since the Unix epoch.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_us() / 1_000
     }
 
-    /// The present time, in microseconds since 1970: a number for a new life.
+    /// Returns the present time, in microseconds since the Unix epoch: also usable as an incarnation.
     #[must_use]
     pub fn now_us(&self) -> u64 {
         let elapsed = (self.source)().saturating_sub(self.started);
@@ -47,19 +47,19 @@
     }
 }
 
-/// Time since the machine was started, with the time for which it was suspended.
+/// Returns the time since the box booted, including the time for which it was suspended.
 #[must_use]
 pub fn time_since_boot() -> Duration {
-    of(ClockId::Boottime)
+    read_clock(ClockId::Boottime)
 }
 
-/// Time for which the machine has run.
+/// Returns the time for which the box has run since boot, without the time for which it was suspended.
 #[must_use]
 pub fn monotonic_time() -> Duration {
-    of(ClockId::Monotonic)
+    read_clock(ClockId::Monotonic)
 }
 
-fn of(clock: ClockId) -> Duration {
+fn read_clock(clock: ClockId) -> Duration {
     let time = clock_gettime(clock);
     Duration::new(u64::try_from(time.tv_sec).unwrap_or(0), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
--- a/crates/ochreyard-process/src/lib.rs
+++ b/crates/ochreyard-process/src/lib.rs
@@ -1,4 +1,4 @@
-//! What both programs share: checked settings, log lines, clock, exit codes.
+//! Common parts of the programs: settings, logging, metrics, the clock, signals and exit codes.
 
 mod clock;
 mod incarnation;
@@ -20,29 +20,29 @@
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// Upper ends of the histograms' buckets, in seconds: from a tenth of the shortest aims of
-/// the users' sheets to the longest time that they give a request.
+/// Upper bounds of the histogram buckets, in seconds: from a tenth of the shortest latency target in the users'
+/// requirements to the longest timeout that they give a request.
 const LATENCY_BUCKETS_S: [f64; 10] = [0.015, 0.03, 0.06, 0.12, 0.2, 0.4, 0.8, 1.6, 4.0, 8.0];
 
-/// How often the recorder puts what was measured in order.
-const UPKEEP_EVERY: Duration = Duration::from_secs(5);
+/// Interval between two runs of the recorder's upkeep.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Starts collecting metrics; the handle renders them as text, and its upkeep must run now
-/// and then.
+/// Installs the metrics recorder. The returned handle renders the metrics as text, and needs
+/// [`run_metrics_upkeep`] to run.
 ///
 /// # Errors
 ///
-/// When another recorder has been installed before.
+/// Fails if a recorder is already installed.
 pub fn start_metrics() -> Result<PrometheusHandle, String> {
     let builder = PrometheusBuilder::new().set_buckets(&LATENCY_BUCKETS_S);
     builder.and_then(PrometheusBuilder::install_recorder).map_err(|error| error.to_string())
 }
 
-/// Keeps the recorder's memory bounded until the process ends: without it, what is
-/// measured between two scrapes piles up.
+/// Runs the recorder's upkeep until the process ends. This bounds the recorder's memory: without it, the samples taken
+/// between two scrapes accumulate.
 pub async fn run_metrics_upkeep(handle: PrometheusHandle) {
     loop {
-        tokio::time::sleep(UPKEEP_EVERY).await;
+        tokio::time::sleep(UPKEEP_INTERVAL).await;
         handle.run_upkeep();
     }
 }
--- a/crates/ochreyard-process/src/stop.rs
+++ b/crates/ochreyard-process/src/stop.rs
@@ -1,4 +1,4 @@
-//! The signals that a process gets from its surroundings.
+//! Signals that the process handles.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -6,12 +6,12 @@
 use signal_hook::consts::SIGHUP;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// From now on SIGHUP does not end the process. Called first of all: the signal may
-/// come while the settings are still being read, long before anything waits for it.
+/// Keeps SIGHUP from ending the process. Programs call this first: the signal may arrive while the settings are still
+/// being read, long before any task waits for it.
 ///
 /// # Errors
 ///
-/// When the system refuses it.
+/// Fails if the signal handler cannot be registered.
 pub fn ignore_hangup() -> std::io::Result<()> {
     signal_hook::flag::register(SIGHUP, Arc::new(AtomicBool::new(false))).map(drop)
 }
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// When the signals cannot be waited for.
+/// Fails if the signal handlers cannot be registered.
 pub async fn stop_signal() -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/ochreyard-process/tests/clock.rs
+++ b/crates/ochreyard-process/tests/clock.rs
@@ -1,11 +1,11 @@
-//! Time for the decisions.
+//! The clock and the detection of suspensions.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 use ochreyard_process::{Clock, SuspensionDetector, monotonic_time, time_since_boot};
 
-/// A source that the tests set, in milliseconds.
+/// Time of the injected source, in milliseconds.
 static NOW_MS: AtomicU64 = AtomicU64::new(5_000);
 
 fn injected() -> Duration {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn it_goes_on_with_its_source_and_never_back() {
+fn the_clock_follows_its_source_and_never_goes_back_before_its_start() {
     let clock = Clock::with_source(injected);
     let started_ms = clock.now_ms();
     NOW_MS.store(12_000, Ordering::Relaxed);
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn the_time_of_a_suspension_counts() {
-    // Whatever this machine has been through, the time since its boot holds the time that it ran.
+fn the_clock_counts_suspended_time() {
+    // The time since boot includes the time for which the box ran, whether or not it was ever suspended.
     assert!(time_since_boot() + Duration::from_millis(1) >= monotonic_time());
     let clock = Clock::start();
-    let (before_us, boot) = (clock.now_us(), time_since_boot());
-    let passed = || time_since_boot() - boot;
-    while passed() < Duration::from_millis(5) {}
+    let (before_us, since_boot_before) = (clock.now_us(), time_since_boot());
+    let elapsed = || time_since_boot() - since_boot_before;
+    while elapsed() < Duration::from_millis(5) {}
     assert!(clock.now_us() - before_us >= 4_000);
 }
 
 #[test]
-fn a_suspension_is_noticed_once_and_a_short_one_is_not() {
+fn a_suspension_is_reported_once_and_a_short_one_is_ignored() {
     let ms = Duration::from_millis;
     let mut watch = SuspensionDetector::starting_at(ms(1_000), ms(91_000));
-    assert_eq!(watch.observe(ms(1_200), ms(91_200)), None, "what was before the start is no news");
+    assert_eq!(watch.observe(ms(1_200), ms(91_200)), None, "a suspension before the start is not reported");
     assert_eq!(watch.observe(ms(1_400), ms(96_400)), Some(ms(5_000)));
     assert_eq!(watch.observe(ms(1_600), ms(96_600)), None);
-    assert_eq!(watch.observe(ms(1_800), ms(97_000)), None, "200 ms");
+    assert_eq!(watch.observe(ms(1_800), ms(97_000)), None, "200 ms is too short");
 }
--- a/crates/ochreyard-process/tests/settings.rs
+++ b/crates/ochreyard-process/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole, and every fault names line, field and fix.
+//! Settings are checked completely, and every error names its line, field and fix.
 
 use ochreyard_process::{FieldKind, FieldSpec, Settings, settings_reference};
 use rstest::rstest;
@@ -14,7 +14,7 @@
 const GOOD: &str = "entry: e-1\ncallers_addr: 127.0.0.1:80\n";
 
 #[test]
-fn defaults_fill_what_is_not_given() {
+fn defaults_apply_to_fields_that_are_not_given() {
     let settings = Settings::parse("f", GOOD, FIELDS).unwrap();
     assert_eq!(settings.text("entry"), "e-1");
     assert_eq!(settings.number("poll_ms"), 50);
@@ -28,18 +28,18 @@
 #[case::word("log_level: loud", 3, "log_level", "one of: info, debug")]
 #[case::url("platform_url: ftp://x", 3, "platform_url", "starts with http://")]
 #[case::twice("entry: e-2", 3, "(syntax)", "each field once")]
-fn a_fault_names_line_field_and_fix(#[case] line: &str, #[case] at: usize, #[case] field: &str, #[case] fix: &str) {
+fn an_error_names_line_field_and_fix(#[case] line: &str, #[case] at: usize, #[case] field: &str, #[case] fix: &str) {
     let error = Settings::parse("f", &format!("{GOOD}{line}\n"), FIELDS).unwrap_err();
     assert_eq!(error.field_errors.len(), 1, "{:?}", error.field_errors);
-    let fault = &error.field_errors[0];
-    assert_eq!((fault.line, fault.field.as_str()), (at, field));
-    assert!(fault.fix.contains(fix), "{}", fault.fix);
+    let field_error = &error.field_errors[0];
+    assert_eq!((field_error.line, field_error.field.as_str()), (at, field));
+    assert!(field_error.fix.contains(fix), "{}", field_error.fix);
 }
 
 #[test]
-fn all_faults_are_listed_at_once() {
+fn all_errors_are_reported_at_once() {
     let error = Settings::parse("f", "entry: E\npoll_ms: 0\nnonsense: 1\n", FIELDS).unwrap_err();
-    let fields: Vec<&str> = error.field_errors.iter().map(|fault| fault.field.as_str()).collect();
+    let fields: Vec<&str> = error.field_errors.iter().map(|field_error| field_error.field.as_str()).collect();
     assert_eq!(fields, ["callers_addr", "entry", "poll_ms", "nonsense"]);
 }
 
