--- a/crates/ochreyard-platform/src/http.rs
+++ b/crates/ochreyard-platform/src/http.rs
@@ -13,10 +13,10 @@
 use crate::error::PlatformError;
 use crate::traits::{BoxList, ListedBox, LogStream, WeightStore};
 
-/// How long to wait when a busy platform names no time, in milliseconds.
-const DEFAULT_BUSY_MS: u64 = 1_000;
+/// Backoff when a busy platform states none, in milliseconds.
+const DEFAULT_BACKOFF_MS: u64 = 1_000;
 
-/// A client of the platform at one address and of one stream of its log.
+/// An HTTP client of the platform at one address, and of one stream of its log.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     http: Client,
@@ -44,11 +44,12 @@
 }
 
 impl HttpPlatform {
-    /// A client of `stream` at `base_url`. Each question waits `timeout_ms` at the most.
+    /// Creates a client of the platform at `base_url` and of its log's `stream`. Each request times out after
+    /// `timeout_ms`.
     ///
     /// # Errors
     ///
-    /// [`PlatformError`] when the client cannot be made.
+    /// [`PlatformError`] if the client cannot be created.
     pub fn new(base_url: impl Into<String>, stream: impl Into<String>, timeout_ms: u64) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(Duration::from_millis(timeout_ms)).no_proxy().build();
         let http = http.map_err(|error| PlatformError::Unavailable(error.to_string()))?;
@@ -56,14 +57,14 @@
         Ok(Self { http, base_url, stream: stream.into(), backoff: Backoff::default() })
     }
 
-    async fn ask<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, PlatformError> {
+    async fn send<T: DeserializeOwned>(&self, request: RequestBuilder) -> Result<T, PlatformError> {
         let unavailable = |error: reqwest::Error| PlatformError::Unavailable(error.to_string());
-        if let Some(retry_after_ms) = self.backoff.left_ms() {
+        if let Some(retry_after_ms) = self.backoff.remaining_ms() {
             return Err(PlatformError::Busy { retry_after_ms });
         }
         let response = request.send().await.map_err(unavailable)?;
-        if let Some(retry_after_ms) = asked_pause_ms(&response) {
-            self.backoff.ask(Duration::from_millis(retry_after_ms));
+        if let Some(retry_after_ms) = requested_backoff_ms(&response) {
+            self.backoff.extend(Duration::from_millis(retry_after_ms));
             log::info!("event=platform_busy status={} retry_after_ms={retry_after_ms}", response.status().as_u16());
             return Err(PlatformError::Busy { retry_after_ms });
         }
@@ -72,13 +73,13 @@
     }
 }
 
-/// For how long a refusal asks for no call, in milliseconds. One that is too busy and names no time that can be read gets
-/// the usual one; one that is unavailable may be back at any moment.
-fn asked_pause_ms(response: &Response) -> Option<u64> {
+/// Returns the backoff that a refusal asks for, in milliseconds. A status 429 without a valid `Retry-After` gets the
+/// default one. A status 503 without it gets none, since the platform may be available again at any moment.
+fn requested_backoff_ms(response: &Response) -> Option<u64> {
     let stated = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
     let stated_ms = stated.and_then(|value| retry_after::parse_ms(value).ok());
     match response.status() {
-        StatusCode::TOO_MANY_REQUESTS => Some(stated_ms.unwrap_or(DEFAULT_BUSY_MS)),
+        StatusCode::TOO_MANY_REQUESTS => Some(stated_ms.unwrap_or(DEFAULT_BACKOFF_MS)),
         StatusCode::SERVICE_UNAVAILABLE => stated_ms,
         _ => None,
     }
@@ -87,28 +88,28 @@
 impl LogStream for HttpPlatform {
     async fn read(&self, from: u64, limit: u32) -> Result<LogPage, PlatformError> {
         let url = format!("{}/log/{}?from={from}&limit={limit}", self.base_url, self.stream);
-        let page: PageBody = self.ask(self.http.get(url)).await?;
+        let page: PageBody = self.send(self.http.get(url)).await?;
         let records = page.records.into_iter().map(|r| LogRecord { offset: r.offset, text: r.text }).collect();
         Ok(LogPage { first_offset: page.first_offset, next_offset: page.next_offset, records })
     }
 
     async fn append(&self, text: &str) -> Result<u64, PlatformError> {
         let url = format!("{}/log/{}", self.base_url, self.stream);
-        let appended: AppendBody = self.ask(self.http.post(url).body(text.to_owned())).await?;
+        let appended: AppendBody = self.send(self.http.post(url).body(text.to_owned())).await?;
         Ok(appended.offset)
     }
 }
 
 impl BoxList for HttpPlatform {
     async fn boxes(&self) -> Result<Vec<ListedBox>, PlatformError> {
-        self.ask(self.http.get(format!("{}/boxes", self.base_url))).await
+        self.send(self.http.get(format!("{}/boxes", self.base_url))).await
     }
 }
 
 impl WeightStore for HttpPlatform {
     async fn reserve(&self, bytes: u64) -> Result<(), PlatformError> {
         let url = format!("{}/weights/reserve?bytes={bytes}", self.base_url);
-        let _: serde_json::Value = self.ask(self.http.post(url)).await?;
+        let _: serde_json::Value = self.send(self.http.post(url)).await?;
         Ok(())
     }
 }
--- a/crates/ochreyard-platform/src/lib.rs
+++ b/crates/ochreyard-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Towards the platform: the append-only log, the box list, the weight store.
+//! Interfaces to the platform: the append-only log, the box list and the weight store.
 //!
-//! Each is a small trait, with an HTTP client for the shape in
-//! `docs/platform.md`. Tests put fakes behind the traits.
+//! Each is a small trait, which an HTTP client implements as `docs/platform.md` specifies. Tests implement the traits
+//! with fakes.
 
 mod backoff;
 mod error;
--- a/crates/ochreyard-platform/tests/busy.rs
+++ b/crates/ochreyard-platform/tests/busy.rs
@@ -1,4 +1,4 @@
-//! The platform asks for a pause: no call is made until it is over.
+//! A busy platform requests a backoff: no call is made until it is over.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,17 +8,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Refuses every call with `head`, and counts them.
-async fn refusing(head: &'static str) -> (String, Arc<AtomicUsize>) {
+/// Starts a server that refuses every call with `head`. Returns its URL and the number of calls so far.
+async fn start_refusing_server(head: &'static str) -> (String, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let url = format!("http://{}", listener.local_addr().unwrap());
     let calls = Arc::new(AtomicUsize::new(0));
-    let counted = Arc::clone(&calls);
+    let call_count = Arc::clone(&calls);
     tokio::spawn(async move {
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
             let _ = stream.read(&mut [0; 4_096]).await.unwrap();
-            counted.fetch_add(1, Ordering::SeqCst);
+            call_count.fetch_add(1, Ordering::SeqCst);
             let answer = format!("HTTP/1.1 {head}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n");
             stream.write_all(answer.as_bytes()).await.unwrap();
         }
@@ -31,19 +31,19 @@
 #[case::fraction("429 Too Many Requests\r\nretry-after: 600.5", 600_500)]
 #[case::unavailable("503 Service Unavailable\r\nretry-after: 600", 600_000)]
 #[tokio::test]
-async fn no_call_is_made_until_the_stated_time_is_over(#[case] head: &'static str, #[case] stated_ms: u64) {
-    let (url, calls) = refusing(head).await;
+async fn no_call_is_made_until_the_requested_backoff_is_over(#[case] head: &'static str, #[case] stated_ms: u64) {
+    let (url, calls) = start_refusing_server(head).await;
     let platform = HttpPlatform::new(url, "log", 2_000).unwrap();
     assert_eq!(platform.boxes().await, Err(PlatformError::Busy { retry_after_ms: stated_ms }));
-    // Clones are the same client.
+    // Clones of a client share its backoff.
     let again = platform.clone().boxes().await;
     assert!(matches!(again, Err(PlatformError::Busy { retry_after_ms }) if retry_after_ms <= stated_ms), "{again:?}");
     assert_eq!(calls.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
-async fn a_refusal_without_a_time_does_not_keep_calls_back() {
-    let (url, calls) = refusing("503 Service Unavailable").await;
+async fn a_503_without_retry_after_does_not_hold_back_calls() {
+    let (url, calls) = start_refusing_server("503 Service Unavailable").await;
     let platform = HttpPlatform::new(url, "log", 2_000).unwrap();
     for _ in 0..2 {
         assert!(matches!(platform.boxes().await, Err(PlatformError::Unavailable(_))));
