--- a/crates/ochreyard-peer/src/entry_door.rs
+++ b/crates/ochreyard-peer/src/configuration_exchange.rs
@@ -1,5 +1,5 @@
-//! Between entries: the configuration in force, for a new entry while the
-//! platform's log cannot be read.
+//! Exchange of the configuration between entries. A new entry fetches the configuration in force from another one while
+//! the platform's log cannot be read.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,17 +17,17 @@
 use crate::local_thread::LocalThread;
 use crate::wire;
 
-/// An entry that tells others its configuration.
+/// An entry that serves its configuration to other entries.
 pub trait ConfigurationSource: Send + Sync + 'static {
-    /// The configuration in force, once there is one.
+    /// Returns the configuration in force, or `None` while there is none yet.
     fn configuration(&self) -> impl Future<Output = Option<Arc<Configuration>>> + Send;
 }
 
-/// Tells other entries the configuration, on `listener`, until the thread ends.
+/// Serves the configuration to other entries, on `listener`, until the thread ends.
 ///
 /// # Panics
 ///
-/// When called outside a Tokio executor.
+/// Panics if called outside a Tokio runtime.
 pub fn serve_configuration<S: ConfigurationSource>(
     thread: &LocalThread,
     listener: std::net::TcpListener,
@@ -37,17 +37,17 @@
     let token: Arc<str> = Arc::from(token);
     wire::serve(thread, listener, move |executor| {
         let (token, source, executor) = (Arc::clone(&token), Arc::clone(&source), executor.clone());
-        new_client::<entry_door::Client, _>(EntryServer { token, source, executor }).client
+        new_client::<entry_door::Client, _>(ConfigurationServer { token, source, executor }).client
     });
 }
 
-struct EntryServer<S> {
+struct ConfigurationServer<S> {
     token: Arc<str>,
     source: Arc<S>,
     executor: Handle,
 }
 
-impl<S: ConfigurationSource> entry_door::Server for EntryServer<S> {
+impl<S: ConfigurationSource> entry_door::Server for ConfigurationServer<S> {
     async fn state(
         self: Rc<Self>,
         params: entry_door::StateParams,
@@ -55,21 +55,21 @@
     ) -> Result<(), Error> {
         wire::check_token(params.get()?.get_token()?.as_bytes(), &self.token)?;
         let source = Arc::clone(&self.source);
-        let state = self.executor.spawn(async move { source.configuration().await }).await;
-        let state = state.map_err(|error| Error::failed(error.to_string()))?;
-        if let Some(state) = state {
-            let bytes = serde_json::to_vec(&*state).map_err(|error| Error::failed(error.to_string()))?;
+        let config = self.executor.spawn(async move { source.configuration().await }).await;
+        let config = config.map_err(|error| Error::failed(error.to_string()))?;
+        if let Some(config) = config {
+            let bytes = serde_json::to_vec(&*config).map_err(|error| Error::failed(error.to_string()))?;
             results.get().set_state(&bytes);
         }
         Ok(())
     }
 }
 
-/// Asks the entry at `addr` for its configuration.
+/// Fetches the configuration in force from the entry at `addr`.
 ///
 /// # Errors
 ///
-/// [`LinkError`] when it gave no answer that can be read.
+/// [`LinkError`] if the entry gave no readable answer.
 pub async fn fetch_configuration(
     thread: &LocalThread,
     addr: SocketAddr,
@@ -78,7 +78,7 @@
     let (reply, answer) = oneshot::channel();
     thread.run(move || {
         tokio::task::spawn_local(async move {
-            // Whoever asked may have given up.
+            // The receiver may have been dropped.
             let _ = reply.send(fetch(addr, &token).await);
         });
     });
@@ -87,10 +87,10 @@
 }
 
 async fn fetch(addr: SocketAddr, token: &str) -> Result<Option<Configuration>, Error> {
-    let dialled = wire::dial::<entry_door::Client>(addr).await?;
-    let mut request = dialled.door.state_request();
+    let connection = wire::connect::<entry_door::Client>(addr).await?;
+    let mut request = connection.bootstrap.state_request();
     request.get().set_token(token);
-    let answer = wire::in_time(request.send().promise).await?;
+    let answer = wire::with_timeout(request.send().promise).await?;
     let bytes = answer.get()?.get_state()?;
     if bytes.is_empty() {
         return Ok(None);
--- a/crates/ochreyard-peer/src/convert.rs
+++ b/crates/ochreyard-peer/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the plain values and the generated readers and builders.
+//! Conversions between the plain message types and the generated readers and builders.
 
 use bytes::Bytes;
 use capnp::Error;
@@ -11,9 +11,9 @@
 use crate::agent_capnp::{attempt_id, frame, offer, refusal, report, request};
 use crate::message::ServiceRequest;
 
-type Read<T> = Result<T, Error>;
+type ReadResult<T> = Result<T, Error>;
 
-fn text(reader: capnp::text::Reader<'_>) -> Read<String> {
+fn text(reader: capnp::text::Reader<'_>) -> ReadResult<String> {
     reader.to_string().map_err(|error| Error::failed(error.to_string()))
 }
 
@@ -41,7 +41,7 @@
     to.set_remaining_ms(from.remaining_ms);
 }
 
-pub(crate) fn read_offer(from: offer::Reader<'_>) -> Read<Offer> {
+pub(crate) fn read_offer(from: offer::Reader<'_>) -> ReadResult<Offer> {
     let key = text(from.get_key()?)?;
     let key = (!key.is_empty()).then(|| IdempotencyKey { key, fingerprint: from.get_fingerprint() });
     Ok(Offer {
@@ -63,7 +63,7 @@
     to.set_body(&from.body);
 }
 
-pub(crate) fn read_request(from: request::Reader<'_>) -> Read<ServiceRequest> {
+pub(crate) fn read_request(from: request::Reader<'_>) -> ReadResult<ServiceRequest> {
     Ok(ServiceRequest {
         method: text(from.get_method()?)?,
         path: text(from.get_path()?)?,
@@ -79,8 +79,9 @@
     to.set_detail(from.detail.as_str());
 }
 
-/// An unknown kind, from another version, counts as the weakest claim.
-pub(crate) fn read_refusal(from: refusal::Reader<'_>) -> Read<Refusal> {
+/// Reads a refusal. An unknown kind or run status, from another version, is read as the weakest claim: `Internal` or
+/// `MayHaveRun`.
+pub(crate) fn read_refusal(from: refusal::Reader<'_>) -> ReadResult<Refusal> {
     let kind = text(from.get_kind()?)?;
     let run = match text(from.get_run()?)?.as_str() {
         "not-run" => RunStatus::NotRun,
@@ -112,7 +113,7 @@
     }
 }
 
-pub(crate) fn read_frame(from: frame::Reader<'_>) -> Read<Frame> {
+pub(crate) fn read_frame(from: frame::Reader<'_>) -> ReadResult<Frame> {
     let body = match from.which()? {
         frame::Which::Head(head) => {
             FrameBody::Head { status: head.get_status(), content_type: text(head.get_content_type()?)? }
--- a/crates/ochreyard-peer/src/handler.rs
+++ b/crates/ochreyard-peer/src/handler.rs
@@ -1,4 +1,4 @@
-//! What the server side of the link needs from an agent.
+//! The trait that an agent implements to serve the link.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 
 use crate::message::{CallOutcome, CallRequest, Heartbeat};
 
-/// An agent that answers entries.
+/// An agent that handles calls of entries.
 pub trait AgentHandler: Send + Sync + 'static {
-    /// Takes a heartbeat and reports.
+    /// Handles a heartbeat and returns the agent's report.
     fn heartbeat(&self, beat: Heartbeat) -> impl Future<Output = AgentReport> + Send;
 
-    /// Puts a configuration in force, unless it is older, and returns the version in force.
+    /// Puts a configuration in force unless it is older, and returns the version then in force.
     fn configure(&self, config: Arc<Configuration>) -> impl Future<Output = u64> + Send;
 
-    /// Puts what changed in force, if it starts from the version in force, and returns that afterwards.
+    /// Applies a delta if it starts from the version in force, and returns the version then in force.
     fn extend(&self, delta: Delta) -> impl Future<Output = u64> + Send;
 
-    /// Runs a call; frames of the answer go to `frames`, which is closed when the caller has gone.
+    /// Runs a call and sends the frames of the answer to `frames`, which closes when the caller disconnects.
     fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> impl Future<Output = CallOutcome> + Send;
 
-    /// The caller of an attempt has gone.
+    /// Cancels an attempt whose caller has disconnected.
     fn cancel(&self, attempt: AttemptId) -> impl Future<Output = ()> + Send;
 
-    /// Says whether an attempt has started, and keeps it from starting if not.
-    fn revoke(&self, attempt: AttemptId, to: Incarnation) -> impl Future<Output = RevokeAnswer> + Send;
+    /// Returns whether an attempt has started, and prevents it from starting if not.
+    fn revoke(&self, attempt: AttemptId, agent_incarnation: Incarnation) -> impl Future<Output = RevokeAnswer> + Send;
 }
--- a/crates/ochreyard-peer/src/link.rs
+++ b/crates/ochreyard-peer/src/link.rs
@@ -17,23 +17,23 @@
 use crate::convert;
 use crate::local_thread::LocalThread;
 use crate::message::{CallOutcome, CallRequest, Heartbeat};
-use crate::wire::{self, Dialled};
+use crate::wire::{self, ClientConnection};
 
 /// Why the link gave no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LinkError {
-    /// No connection could be made, so nothing was handed over.
+    /// No connection could be made, so the message was not sent.
     #[error("the agent at {addr} cannot be reached: {problem}")]
     NotSent {
-        /// Where the agent should be.
+        /// The address of the agent.
         addr: SocketAddr,
-        /// What the connection said.
+        /// The error of the connection.
         problem: String,
     },
-    /// The connection broke after the message had been handed over.
+    /// The connection was lost after the message had been sent.
     #[error("the connection to the agent was lost: {problem}")]
     Lost {
-        /// What the connection said.
+        /// The error of the connection.
         problem: String,
     },
 }
@@ -49,21 +49,20 @@
     Reset,
 }
 
-/// A handle on the connection to one agent. It dials when it is first needed
-/// and again after a break.
+/// A handle to the connection to one agent. It connects on first use, and again after the connection was lost.
 #[derive(Debug, Clone)]
 pub struct AgentLink {
     commands: mpsc::UnboundedSender<Command>,
 }
 
 impl AgentLink {
-    /// A link to the agent at `addr`, kept on `thread`.
+    /// Creates a link to the agent at `addr`, whose connection runs on `thread`.
     #[must_use]
     pub fn new(thread: &LocalThread, addr: SocketAddr, token: impl Into<String>) -> Self {
-        let (commands, inbox) = mpsc::unbounded_channel();
+        let (commands, command_rx) = mpsc::unbounded_channel();
         let token = token.into();
         thread.run(move || {
-            tokio::task::spawn_local(Connection { addr, token, open: None }.run(inbox));
+            tokio::task::spawn_local(Connection { addr, token, connected: None }.run(command_rx));
         });
         Self { commands }
     }
@@ -72,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no report came back.
+    /// [`LinkError`] if the agent returned no report.
     pub async fn heartbeat(&self, beat: Heartbeat) -> Result<AgentReport, LinkError> {
         self.ask(|reply| Command::Heartbeat(beat, reply)).await
     }
@@ -81,90 +80,90 @@
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no answer came back.
+    /// [`LinkError`] if the agent returned no answer.
     pub async fn configure(&self, config: Arc<Configuration>) -> Result<u64, LinkError> {
         self.ask(|reply| Command::Configure(config, reply)).await
     }
 
-    /// Sends what changed, and returns the version in force at the agent: an older
-    /// one than wanted asks for the whole configuration.
+    /// Sends a delta of the configuration, and returns the version in force at the agent. If that is older than the
+    /// delta's, the agent needs the complete configuration.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no answer came back.
+    /// [`LinkError`] if the agent returned no answer.
     pub async fn extend(&self, delta: Delta) -> Result<u64, LinkError> {
         self.ask(|reply| Command::Extend(delta, reply)).await
     }
 
-    /// Makes a call; frames of the answer go to `frames`. When its receiver is
-    /// dropped, the agent is told to cancel.
+    /// Makes a call and sends the frames of the answer to `frames`. Dropping the receiver of `frames` cancels the call
+    /// at the agent.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when the agent's word on the end did not come.
+    /// [`LinkError`] if the agent did not report the outcome of the call.
     pub async fn call(&self, call: CallRequest, frames: mpsc::Sender<Frame>) -> Result<CallOutcome, LinkError> {
         self.ask(|reply| Command::Call(Box::new(call), frames, reply)).await
     }
 
-    /// Asks whether an attempt has started, and keeps it from starting if not.
+    /// Asks whether an attempt has started, and prevents it from starting if not.
     ///
     /// # Errors
     ///
-    /// [`LinkError`] when no answer came back.
-    pub async fn revoke(&self, attempt: AttemptId, to: Incarnation) -> Result<RevokeAnswer, LinkError> {
-        self.ask(|reply| Command::Revoke(attempt, to, reply)).await
+    /// [`LinkError`] if the agent returned no answer.
+    pub async fn revoke(&self, attempt: AttemptId, agent_incarnation: Incarnation) -> Result<RevokeAnswer, LinkError> {
+        self.ask(|reply| Command::Revoke(attempt, agent_incarnation, reply)).await
     }
 
-    /// Drops the connection: calls under way end as lost.
+    /// Drops the connection. Calls in progress fail with [`LinkError::Lost`].
     pub fn reset(&self) {
         let _ = self.commands.send(Command::Reset);
     }
 
     async fn ask<T>(&self, command: impl FnOnce(Reply<T>) -> Command) -> Result<T, LinkError> {
         let (reply, answer) = oneshot::channel();
-        let ended = || LinkError::Lost { problem: "the link has ended".into() };
-        self.commands.send(command(reply)).map_err(|_| ended())?;
-        answer.await.map_err(|_| ended())?
+        let link_ended = || LinkError::Lost { problem: "the link has ended".into() };
+        self.commands.send(command(reply)).map_err(|_| link_ended())?;
+        answer.await.map_err(|_| link_ended())?
     }
 }
 
 struct Connection {
     addr: SocketAddr,
     token: String,
-    open: Option<(Dialled<door::Client>, agent::Client)>,
+    connected: Option<(ClientConnection<door::Client>, agent::Client)>,
 }
 
 impl Connection {
-    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Command>) {
-        while let Some(command) = inbox.recv().await {
+    async fn run(mut self, mut command_rx: mpsc::UnboundedReceiver<Command>) {
+        while let Some(command) = command_rx.recv().await {
             if matches!(command, Command::Reset) {
-                self.open = None;
+                self.connected = None;
                 continue;
             }
-            match self.agent().await {
-                Ok((agent, lifetime)) => drop(tokio::task::spawn_local(carry_out(agent, lifetime, command))),
-                Err(error) => fail(command, &LinkError::NotSent { addr: self.addr, problem: error.to_string() }),
+            match self.connected_agent().await {
+                Ok((agent, closed)) => drop(tokio::task::spawn_local(execute(agent, closed, command))),
+                Err(error) => reject(command, &LinkError::NotSent { addr: self.addr, problem: error.to_string() }),
             }
         }
     }
 
-    async fn agent(&mut self) -> Result<(agent::Client, watch::Receiver<()>), Error> {
-        if let Some((dialled, agent)) = self.open.as_ref().filter(|(dialled, _)| dialled.is_open()) {
-            return Ok((agent.clone(), dialled.lifetime()));
+    async fn connected_agent(&mut self) -> Result<(agent::Client, watch::Receiver<()>), Error> {
+        if let Some((connection, agent)) = self.connected.as_ref().filter(|(connection, _)| connection.is_open()) {
+            return Ok((agent.clone(), connection.closed()));
         }
-        self.open = None;
-        let dialled = wire::dial::<door::Client>(self.addr).await?;
-        let mut open = dialled.door.open_request();
+        self.connected = None;
+        let connection = wire::connect::<door::Client>(self.addr).await?;
+        let mut open = connection.bootstrap.open_request();
         open.get().set_token(self.token.as_str());
-        let answer = wire::in_time(open.send().promise).await?;
+        let answer = wire::with_timeout(open.send().promise).await?;
         let agent = answer.get()?.get_agent()?;
-        let lifetime = dialled.lifetime();
-        self.open = Some((dialled, agent.clone()));
-        Ok((agent, lifetime))
+        let closed = connection.closed();
+        self.connected = Some((connection, agent.clone()));
+        Ok((agent, closed))
     }
 }
 
-fn fail(command: Command, error: &LinkError) {
+fn reject(command: Command, error: &LinkError) {
     match command {
         Command::Heartbeat(_, reply) => drop(reply.send(Err(error.clone()))),
         Command::Configure(_, reply) => drop(reply.send(Err(error.clone()))),
@@ -175,23 +174,25 @@
     }
 }
 
-async fn carry_out(agent: agent::Client, life: watch::Receiver<()>, command: Command) {
+async fn execute(agent: agent::Client, closed: watch::Receiver<()>, command: Command) {
     match command {
-        Command::Heartbeat(beat, reply) => drop(reply.send(or_lost(heartbeat(&agent, &beat), life).await)),
-        Command::Configure(config, reply) => drop(reply.send(or_lost(configure(&agent, &config), life).await)),
-        Command::Extend(delta, reply) => drop(reply.send(or_lost(extend(&agent, &delta), life).await)),
-        Command::Call(call, frames, reply) => drop(reply.send(or_lost(make_call(&agent, &call, frames), life).await)),
-        Command::Revoke(attempt, to, reply) => drop(reply.send(or_lost(revoke(&agent, attempt, to), life).await)),
+        Command::Heartbeat(beat, reply) => drop(reply.send(or_lost(heartbeat(&agent, &beat), closed).await)),
+        Command::Configure(config, reply) => drop(reply.send(or_lost(configure(&agent, &config), closed).await)),
+        Command::Extend(delta, reply) => drop(reply.send(or_lost(extend(&agent, &delta), closed).await)),
+        Command::Call(call, frames, reply) => drop(reply.send(or_lost(make_call(&agent, &call, frames), closed).await)),
+        Command::Revoke(attempt, agent_incarnation, reply) => {
+            drop(reply.send(or_lost(revoke(&agent, attempt, agent_incarnation), closed).await));
+        }
         Command::Reset => {}
     }
 }
 
-/// The outcome of `work`, unless the connection is dropped before.
+/// Returns the outcome of `work`, or [`LinkError::Lost`] if the connection is dropped first.
 async fn or_lost<T>(
     work: impl Future<Output = Result<T, Error>>,
-    mut connection: watch::Receiver<()>,
+    mut closed: watch::Receiver<()>,
 ) -> Result<T, LinkError> {
-    let dropped = async { while connection.changed().await.is_ok() {} };
+    let dropped = async { while closed.changed().await.is_ok() {} };
     tokio::select! {
         outcome = work => outcome.map_err(|error| LinkError::Lost { problem: error.to_string() }),
         () = dropped => Err(LinkError::Lost { problem: "the agent was silent for too long".into() }),
@@ -235,7 +236,7 @@
     let mut params = request.get();
     convert::write_offer(params.reborrow().init_offer(), &call.offer);
     convert::write_request(params.reborrow().init_request(), &call.request);
-    params.set_sink(new_client(Sink { frames: frames.clone() }));
+    params.set_sink(new_client(FrameReceiver { frames: frames.clone() }));
     let answer = request.send().promise;
     tokio::select! {
         answer = answer => {
@@ -255,22 +256,26 @@
     }
 }
 
-async fn revoke(agent: &agent::Client, attempt: AttemptId, to: Incarnation) -> Result<RevokeAnswer, Error> {
+async fn revoke(
+    agent: &agent::Client,
+    attempt: AttemptId,
+    agent_incarnation: Incarnation,
+) -> Result<RevokeAnswer, Error> {
     let mut request = agent.revoke_request();
     convert::write_attempt(request.get().init_attempt(), attempt);
-    request.get().set_to(to.0);
+    request.get().set_to(agent_incarnation.0);
     let answer = request.send().promise.await?;
     Ok(convert::read_revoke(answer.get()?.get_answer()?))
 }
 
-struct Sink {
+struct FrameReceiver {
     frames: mpsc::Sender<Frame>,
 }
 
-impl frame_sink::Server for Sink {
+impl frame_sink::Server for FrameReceiver {
     async fn push(self: Rc<Self>, params: frame_sink::PushParams, _: frame_sink::PushResults) -> Result<(), Error> {
         let frame = convert::read_frame(params.get()?.get_frame()?)?;
-        let gone = |_| Error::failed("the caller has gone".into());
-        self.frames.send(frame).await.map_err(gone)
+        let caller_gone = |_| Error::failed("the caller has gone".into());
+        self.frames.send(frame).await.map_err(caller_gone)
     }
 }
--- a/crates/ochreyard-peer/src/message.rs
+++ b/crates/ochreyard-peer/src/message.rs
@@ -1,48 +1,48 @@
-//! What travels between entry and agent, as plain values.
+//! Messages between entry and agent, as plain types.
 
 use bytes::Bytes;
 use ochreyard_core::admission::Offer;
 use ochreyard_core::error_kind::Refusal;
 use ochreyard_core::ids::Incarnation;
 
-/// What an entry says with each heartbeat.
+/// A heartbeat that an entry sends to an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Name of the entry's box.
     pub entry: String,
-    /// The life of the agent for which the log was read to its end.
+    /// The incarnation of the agent for which the entry has read the log to its end.
     pub verified_for: Incarnation,
-    /// The version found there; 0 when no such read has been made.
+    /// The configuration version at the end of the log; 0 if no such read has been made.
     pub tail_version: u64,
 }
 
-/// The caller's request, as the endpoint is to get it.
+/// The caller's request, as it is sent to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ServiceRequest {
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Value of `Content-Type`; empty for none.
+    /// Value of `Content-Type`; empty if there is none.
     pub content_type: String,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
-/// One attempt with its request.
+/// An attempt together with its request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallRequest {
-    /// What the agent decides on.
+    /// The offer on which the agent decides whether to admit the attempt.
     pub offer: Offer,
-    /// What the endpoint gets.
+    /// The request for the endpoint.
     pub request: ServiceRequest,
 }
 
-/// How a call ended at the agent.
+/// The outcome of a call at the agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// All frames were sent; whether they arrived whole is for the entry to check.
+    /// The agent has sent all frames. The entry checks whether they arrived completely.
     Sent,
-    /// It was refused or broke off.
+    /// The call was refused or interrupted.
     Refused(Refusal),
 }
--- a/crates/ochreyard-peer/src/server.rs
+++ b/crates/ochreyard-peer/src/server.rs
@@ -18,16 +18,16 @@
 use crate::message::{CallOutcome, CallRequest, Heartbeat};
 use crate::wire;
 
-/// Frames of one call that wait for the link.
-const FRAMES_IN_HAND: usize = 2;
+/// Capacity of the queue of frames that one call has ready for the link.
+const FRAME_QUEUE_CAPACITY: usize = 2;
 
-/// Answers entries on `listener` until the thread ends.
+/// Serves entries on `listener` until the thread ends.
 ///
-/// Calls of `handler` run on the present executor, the link on `thread`.
+/// The methods of `handler` run on the current Tokio runtime, the link on `thread`.
 ///
 /// # Panics
 ///
-/// When called outside a Tokio executor.
+/// Panics if called outside a Tokio runtime.
 pub fn serve<H: AgentHandler>(thread: &LocalThread, listener: std::net::TcpListener, token: String, handler: Arc<H>) {
     let token: Arc<str> = Arc::from(token);
     wire::serve(thread, listener, move |executor| {
@@ -57,7 +57,7 @@
 }
 
 impl<H: AgentHandler> AgentServer<H> {
-    /// Runs a handler's work on the main executor.
+    /// Runs work of the handler on the main runtime.
     async fn on_executor<T: Send + 'static>(&self, work: impl Future<Output = T> + Send + 'static) -> Result<T, Error> {
         self.executor.spawn(work).await.map_err(|error| Error::failed(error.to_string()))
     }
@@ -70,13 +70,13 @@
         mut results: agent::HeartbeatResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             entry: params.get_entry()?.to_str()?.to_owned(),
             verified_for: Incarnation(params.get_verified_for()),
             tail_version: params.get_tail_version(),
         };
         let handler = Arc::clone(&self.handler);
-        let report = self.on_executor(async move { handler.heartbeat(beat).await }).await?;
+        let report = self.on_executor(async move { handler.heartbeat(heartbeat).await }).await?;
         convert::write_report(results.get().init_report(), &report);
         Ok(())
     }
@@ -86,7 +86,7 @@
         params: agent::ConfigureParams,
         mut results: agent::ConfigureResults,
     ) -> Result<(), Error> {
-        let config: Configuration = read_json(params.get()?.get_state()?)?;
+        let config: Configuration = parse_json(params.get()?.get_state()?)?;
         let handler = Arc::clone(&self.handler);
         let version = self.on_executor(async move { handler.configure(Arc::new(config)).await }).await?;
         results.get().set_version(version);
@@ -98,7 +98,7 @@
         params: agent::ExtendParams,
         mut results: agent::ExtendResults,
     ) -> Result<(), Error> {
-        let delta: Delta = read_json(params.get()?.get_delta()?)?;
+        let delta: Delta = parse_json(params.get()?.get_delta()?)?;
         let handler = Arc::clone(&self.handler);
         let version = self.on_executor(async move { handler.extend(delta).await }).await?;
         results.get().set_version(version);
@@ -112,12 +112,12 @@
             let request = convert::read_request(params.get_request()?)?;
             (CallRequest { offer, request }, params.get_sink()?)
         };
-        let (frames, outbox) = mpsc::channel(FRAMES_IN_HAND);
+        let (frames, frame_rx) = mpsc::channel(FRAME_QUEUE_CAPACITY);
         let handler = Arc::clone(&self.handler);
         let work = self.on_executor(async move { handler.call(call, frames).await });
-        let (end, pushed) = futures::future::join(work, push_all(outbox, sink)).await;
+        let (outcome, pushed) = futures::future::join(work, push_all(frame_rx, sink)).await;
         pushed?;
-        if let CallOutcome::Refused(refusal) = end? {
+        if let CallOutcome::Refused(refusal) = outcome? {
             results.get().set_refused(true);
             convert::write_refusal(results.get().init_refusal(), &refusal);
         }
@@ -137,26 +137,26 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let attempt = convert::read_attempt(params.get_attempt()?);
-        let to = Incarnation(params.get_to());
+        let agent_incarnation = Incarnation(params.get_to());
         let handler = Arc::clone(&self.handler);
-        let answer = self.on_executor(async move { handler.revoke(attempt, to).await }).await?;
+        let answer = self.on_executor(async move { handler.revoke(attempt, agent_incarnation).await }).await?;
         results.get().set_answer(convert::write_revoke(answer));
         Ok(())
     }
 }
 
-/// Reads a part of the configuration; what cannot be read is counted and refused.
-fn read_json<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
+/// Parses a configuration or a delta. Input that cannot be parsed is counted and refused.
+fn parse_json<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(bytes).map_err(|error| {
         metrics::counter!("ochreyard_peer_unreadable_total").increment(1);
         Error::failed(format!("bad_request: the configuration cannot be read: {error}"))
     })
 }
 
-/// Sends frames one after the other. Once the entry takes no more, the outbox
-/// is dropped, which tells the handler that the caller has gone.
-async fn push_all(mut outbox: mpsc::Receiver<Frame>, sink: frame_sink::Client) -> Result<(), Error> {
-    while let Some(frame) = outbox.recv().await {
+/// Pushes frames one after the other. When a push fails, the receiver is dropped, which tells the handler that the
+/// caller has disconnected.
+async fn push_all(mut frame_rx: mpsc::Receiver<Frame>, sink: frame_sink::Client) -> Result<(), Error> {
+    while let Some(frame) = frame_rx.recv().await {
         let mut push = sink.push_request();
         convert::write_frame(push.get().init_frame(), &frame);
         push.send().promise.await?;
--- a/crates/ochreyard-peer/src/wire.rs
+++ b/crates/ochreyard-peer/src/wire.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that speaks `capnp-rpc`, from either end.
+//! TCP connections that carry `capnp-rpc`: server and client side.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 
 use crate::local_thread::LocalThread;
 
-/// How long a connection, or the first answer on it, may take.
-pub(crate) const DIAL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest token that is looked at, in bytes.
+/// Timeout of connecting, and of the first answer on a connection.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before accepting again after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum length of an accepted token, in bytes.
 const MAX_TOKEN_BYTES: usize = 4096;
 
 fn rpc_system(stream: TcpStream, side: Side, bootstrap: Option<Client>) -> std::io::Result<RpcSystem<Side>> {
@@ -33,24 +33,24 @@
     Ok(RpcSystem::new(Box::new(network), bootstrap))
 }
 
-/// Accepts connections on `thread` until it ends; each gets a door of its own,
-/// made by `door` from the executor on which its work is to run.
+/// Accepts connections on `thread` until it ends. `bootstrap` creates the bootstrap object of each connection from the
+/// runtime on which the object's work runs.
 pub(crate) fn serve(
     thread: &LocalThread,
     listener: std::net::TcpListener,
-    door: impl Fn(&Handle) -> Client + Send + 'static,
+    bootstrap: impl Fn(&Handle) -> Client + Send + 'static,
 ) {
     let executor = Handle::current();
     thread.run(move || {
         tokio::task::spawn_local(async move {
-            if let Err(error) = accept(listener, || door(&executor)).await {
+            if let Err(error) = accept(listener, || bootstrap(&executor)).await {
                 log::error!("event=peer_listen_failed error=\"{error}\"");
             }
         });
     });
 }
 
-async fn accept(listener: std::net::TcpListener, door: impl Fn() -> Client) -> std::io::Result<()> {
+async fn accept(listener: std::net::TcpListener, bootstrap: impl Fn() -> Client) -> std::io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = TcpListener::from_std(listener)?;
     loop {
@@ -58,11 +58,11 @@
             Ok(accepted) => accepted,
             Err(error) => {
                 log::warn!("event=peer_accept_failed error=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let system = rpc_system(stream, Side::Server, Some(door()))?;
+        let system = rpc_system(stream, Side::Server, Some(bootstrap()))?;
         tokio::task::spawn_local(async move {
             log::debug!("event=peer_connected from={from}");
             if let Err(error) = system.await {
@@ -72,55 +72,55 @@
     }
 }
 
-/// A connection that was dialled. It ends when this is dropped.
-pub(crate) struct Dialled<C> {
-    /// The other side's door.
-    pub(crate) door: C,
-    system: JoinHandle<()>,
-    open: watch::Sender<()>,
+/// The client side of a connection. Dropping it closes the connection.
+pub(crate) struct ClientConnection<C> {
+    /// The bootstrap object of the server.
+    pub(crate) bootstrap: C,
+    rpc_task: JoinHandle<()>,
+    close_signal: watch::Sender<()>,
 }
 
-impl<C> Dialled<C> {
-    /// Closes once the connection has been dropped on this side. Calls on it
-    /// would wait for ever otherwise: the objects outlive the connection.
-    pub(crate) fn lifetime(&self) -> watch::Receiver<()> {
-        self.open.subscribe()
+impl<C> ClientConnection<C> {
+    /// Returns a receiver that closes once this connection is dropped. Without it, calls on the connection would wait
+    /// forever, since the remote objects outlive the connection.
+    pub(crate) fn closed(&self) -> watch::Receiver<()> {
+        self.close_signal.subscribe()
     }
 
-    /// Whether the connection still stands.
+    /// Returns whether the connection is still open.
     pub(crate) fn is_open(&self) -> bool {
-        !self.system.is_finished()
+        !self.rpc_task.is_finished()
     }
 }
 
-impl<C> Drop for Dialled<C> {
+impl<C> Drop for ClientConnection<C> {
     fn drop(&mut self) {
-        self.system.abort();
+        self.rpc_task.abort();
     }
 }
 
-/// Dials `addr` and asks for its door.
-pub(crate) async fn dial<C: FromClientHook>(addr: SocketAddr) -> Result<Dialled<C>, Error> {
-    let stream = in_time(async { Ok(TcpStream::connect(addr).await?) }).await?;
+/// Connects to `addr` and requests its bootstrap object.
+pub(crate) async fn connect<C: FromClientHook>(addr: SocketAddr) -> Result<ClientConnection<C>, Error> {
+    let stream = with_timeout(async { Ok(TcpStream::connect(addr).await?) }).await?;
     let mut system = rpc_system(stream, Side::Client, None)?;
-    let door = system.bootstrap(Side::Server);
-    let system = tokio::task::spawn_local(async move {
+    let bootstrap = system.bootstrap(Side::Server);
+    let rpc_task = tokio::task::spawn_local(async move {
         let _ = system.await;
     });
-    Ok(Dialled { door, system, open: watch::Sender::new(()) })
+    Ok(ClientConnection { bootstrap, rpc_task, close_signal: watch::Sender::new(()) })
 }
 
-/// Bounds the first steps on a connection.
-pub(crate) async fn in_time<T>(work: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
-    let late = |_| Error::failed(format!("no answer within {} ms", DIAL_TIMEOUT.as_millis()));
-    tokio::time::timeout(DIAL_TIMEOUT, work).await.map_err(late)?
+/// Limits `work` to [`CONNECT_TIMEOUT`].
+pub(crate) async fn with_timeout<T>(work: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+    let timed_out = |_| Error::failed(format!("no answer within {} ms", CONNECT_TIMEOUT.as_millis()));
+    tokio::time::timeout(CONNECT_TIMEOUT, work).await.map_err(timed_out)?
 }
 
-/// Checks the token of the link without telling by its time where the difference is.
-pub(crate) fn check_token(given: &[u8], wanted: &str) -> Result<(), Error> {
-    let wanted = wanted.as_bytes();
-    let differing = given.iter().zip(wanted).fold(0, |acc, (a, b)| acc | (a ^ b));
-    if given.len() <= MAX_TOKEN_BYTES && given.len() == wanted.len() && differing == 0 {
+/// Checks the token of the link in constant time, so that the response time does not reveal where two tokens differ.
+pub(crate) fn check_token(given: &[u8], expected: &str) -> Result<(), Error> {
+    let expected = expected.as_bytes();
+    let differing_bits = given.iter().zip(expected).fold(0, |acc, (a, b)| acc | (a ^ b));
+    if given.len() <= MAX_TOKEN_BYTES && given.len() == expected.len() && differing_bits == 0 {
         return Ok(());
     }
     metrics::counter!("ochreyard_peer_refused_total").increment(1);
