--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -13,7 +13,7 @@
 use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::frame::{FrameAction, FrameBody, FrameReader};
 use ochreyard_core::ids::{AttemptId, Incarnation};
-use ochreyard_peer::{CallEnd, CallRequest, LinkError, ServiceRequest};
+use ochreyard_peer::{CallOutcome, CallRequest, LinkError, ServiceRequest};
 use ochreyard_process::Clock;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -230,8 +230,8 @@
     balancer: ActorRef<Balancer>,
     reader: FrameReader,
     frames: mpsc::Receiver<ochreyard_core::frame::Frame>,
-    call: JoinHandle<Result<CallEnd, LinkError>>,
-    end: Option<Result<CallEnd, LinkError>>,
+    call: JoinHandle<Result<CallOutcome, LinkError>>,
+    end: Option<Result<CallOutcome, LinkError>>,
     deadline: Instant,
     first_body: Option<FrameBody>,
     chunks: Option<mpsc::Sender<BodyChunk>>,
@@ -295,8 +295,8 @@
     /// Returns why the frames ended before the answer was complete.
     async fn end_refusal(&self) -> Refusal {
         match &self.end {
-            Some(Ok(CallEnd::Refused(refusal))) => refusal.clone(),
-            Some(Ok(CallEnd::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
+            Some(Ok(CallOutcome::Refused(refusal))) => refusal.clone(),
+            Some(Ok(CallOutcome::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
             Some(Err(error @ LinkError::NotSent { .. })) => {
                 let _ = self.balancer.tell(LinkLost { endpoint: self.target.endpoint.clone() }).await;
                 let kind = if self.has_key { ErrorKind::KeyHomeUnreachable } else { ErrorKind::EndpointDown };
@@ -342,7 +342,9 @@
     }
 }
 
-fn flatten_join(result: Result<Result<CallEnd, LinkError>, tokio::task::JoinError>) -> Result<CallEnd, LinkError> {
+fn flatten_join(
+    result: Result<Result<CallOutcome, LinkError>, tokio::task::JoinError>,
+) -> Result<CallOutcome, LinkError> {
     result.unwrap_or_else(|error| Err(LinkError::Lost { problem: error.to_string() }))
 }
 
--- a/crates/ochreyard-rank/src/serve.rs
+++ b/crates/ochreyard-rank/src/serve.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use miette::{Context, IntoDiagnostic, Result};
-use ochreyard_process::{Clock, Settings, new_life, start_logging, stop_signal};
+use ochreyard_process::{Clock, Settings, new_incarnation, start_logging, stop_signal};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -25,7 +25,7 @@
 
 async fn serve<F: EngineFactory>(settings: &Settings, engine_factory: &F) -> Result<()> {
     let (engine_addr, peer_addr) = (settings.addr("engine_addr"), settings.addr("peer_addr"));
-    let incarnation = new_life(settings.text("agent"));
+    let incarnation = new_incarnation(settings.text("agent"));
     log::info!("event=agent_started agent={} life={incarnation} engine={engine_addr}", settings.text("agent"));
     let agent =
         Agent::new(engine_factory.client_at(engine_addr), engine_addr, settings.number("lease_ms"), Clock::start());
