--- a/crates/ochreyard-fleet-model/src/fleet.rs
+++ b/crates/ochreyard-fleet-model/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Boxes that read the log, relay or are told, on virtual time.
+//! Simulates a fleet in virtual time: boxes that read the log, relay what they read, or follow other boxes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,329 +7,347 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::known_after::KnownAfter;
+use crate::fault::Fault;
 use crate::model_box::ModelBox;
-use crate::site::{
-    ASK_EVERY_MS, COPY_AGE_MS, DATA_CENTRES, LEAVING_KNOWN_MS, LIST_EVERY_MS, READ_AGAIN_MS, SEEDS, SEEDS_ASKED_MS,
-    STEP_MS, TROUBLE_MS, WRITTEN_MS, addr,
+use crate::parameters::{
+    DATA_CENTRES, FAULT_WINDOW_MS, LEAVE_PROPAGATION_MS, LIST_INTERVALS_MS, POLL_INTERVAL_MS, RECORD_WRITTEN_MS,
+    REREAD_SPREAD_MS, RESTORED_COPY_AGE_MS, SEED_BOXES, SEED_POLLING_MS, STEP_MS, addr,
 };
+use crate::propagation_times::PropagationTimes;
 use crate::traffic::{CallCause, Traffic};
-use crate::trouble::Trouble;
 
-/// A fleet in one trouble.
+/// A fleet of boxes under one injected fault.
 pub struct Fleet {
     boxes: Vec<ModelBox>,
     by_addr: BTreeMap<SocketAddr, usize>,
-    trouble: Trouble,
-    draws: SmallRng,
+    fault: Fault,
+    rng: SmallRng,
     now_ms: u64,
     traffic: Traffic,
-    /// Questions that each box has answered, and the bytes of its answers, in all its lives.
-    answered: Vec<u64>,
+    /// Number of polls that each box has answered, over all its incarnations.
+    answered_polls: Vec<u64>,
+    /// Bytes of the answers that each box has sent, over all its incarnations.
     answered_bytes: Vec<u64>,
-    /// The boxes that have written themselves into the log.
-    written: BTreeMap<String, BoxRecord>,
-    gone: BTreeSet<usize>,
-    /// The box that says that it has read, and has not; with how far it had come.
+    /// The boxes that have written their own record into the list of boxes in the log.
+    listed_boxes: BTreeMap<String, BoxRecord>,
+    removed_boxes: BTreeSet<usize>,
+    /// The box that falsely reports a recent read of the log, with the position up to which it had read.
     false_reader: Option<(usize, Position)>,
 }
 
 impl Fleet {
-    /// `boxes` boxes that all start at once.
+    /// Creates a fleet of `boxes` boxes that all start at once.
     #[must_use]
-    pub fn new(boxes: usize, trouble: Trouble, seed: u64) -> Self {
-        let mut draws = SmallRng::seed_from_u64(seed);
+    pub fn new(boxes: usize, fault: Fault, seed: u64) -> Self {
+        let mut rng = SmallRng::seed_from_u64(seed);
         Self {
-            boxes: (0..boxes).map(|at| ModelBox::start(at, 0, &mut draws)).collect(),
-            by_addr: (0..boxes).map(|at| (addr(at), at)).collect(),
-            trouble,
-            draws,
+            boxes: (0..boxes).map(|index| ModelBox::start(index, 0, &mut rng)).collect(),
+            by_addr: (0..boxes).map(|index| (addr(index), index)).collect(),
+            fault,
+            rng,
             now_ms: 0,
             traffic: Traffic::default(),
-            answered: vec![0; boxes],
+            answered_polls: vec![0; boxes],
             answered_bytes: vec![0; boxes],
-            written: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            listed_boxes: BTreeMap::new(),
+            removed_boxes: BTreeSet::new(),
             false_reader: None,
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation until `until_ms` of virtual time.
     pub fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
             self.now_ms += STEP_MS;
-            if self.now_ms == TROUBLE_MS.0 {
-                self.begin_trouble();
+            if self.now_ms == FAULT_WINDOW_MS.0 {
+                self.start_fault();
             }
-            for at in self.present() {
-                self.follow_log(at);
-                // Boxes ask at different moments.
-                if (self.now_ms + at as u64 * STEP_MS).is_multiple_of(ASK_EVERY_MS) {
-                    self.ask(at);
+            for index in self.present_boxes() {
+                self.read_log_if_due(index);
+                // Spreads the polls of the boxes over the poll interval.
+                if (self.now_ms + index as u64 * STEP_MS).is_multiple_of(POLL_INTERVAL_MS) {
+                    self.poll(index);
                 }
             }
         }
     }
 
-    /// What was called, asked and sent so far.
+    /// Returns the calls to the log, the polls and the bytes sent so far.
     #[must_use]
     pub const fn traffic(&self) -> Traffic {
         self.traffic
     }
 
-    /// The questions that the busiest box has answered so far.
+    /// Returns the number of polls that the busiest box has answered so far.
     #[must_use]
-    pub fn most_questions(&self) -> u64 {
-        self.answered.iter().copied().max().unwrap_or(0)
+    pub fn max_answered_polls(&self) -> u64 {
+        self.answered_polls.iter().copied().max().unwrap_or(0)
     }
 
-    /// The bytes that each box has sent as answers so far.
+    /// Returns the bytes of answers that each box has sent so far.
     #[must_use]
     pub fn answered_bytes(&self) -> &[u64] {
         &self.answered_bytes
     }
 
-    /// After how long boxes knew what was written, from then on or from the end of the trouble where the log answers nobody.
+    /// Returns how long the boxes took to learn of the record, counted from the moment it was written. In an outage of
+    /// the log, the time is counted from the end of the outage.
     #[must_use]
-    pub fn known_after(&self) -> KnownAfter {
-        let from_ms = if self.trouble == Trouble::Outage { TROUBLE_MS.1 } else { WRITTEN_MS };
-        let after = |at: usize| self.boxes[at].known_ms.map_or(u64::MAX, |known_ms| known_ms.saturating_sub(from_ms));
-        KnownAfter::of(self.present().into_iter().map(after).collect())
+    pub fn propagation_times(&self) -> PropagationTimes {
+        let from_ms = if self.fault == Fault::Outage { FAULT_WINDOW_MS.1 } else { RECORD_WRITTEN_MS };
+        let propagation_ms = |index: usize| {
+            self.boxes[index].record_known_ms.map_or(u64::MAX, |known_ms| known_ms.saturating_sub(from_ms))
+        };
+        PropagationTimes::from_box_times(self.present_boxes().into_iter().map(propagation_ms).collect())
     }
 
-    fn present(&self) -> Vec<usize> {
-        (0..self.boxes.len()).filter(|at| !self.gone.contains(at)).collect()
+    fn present_boxes(&self) -> Vec<usize> {
+        (0..self.boxes.len()).filter(|index| !self.removed_boxes.contains(index)).collect()
     }
 
-    fn begin_trouble(&mut self) {
-        match self.trouble {
-            Trouble::HalfRestart => self.restart(2),
-            Trouble::AllRestart => self.restart(1),
-            Trouble::FirstGone => self.lose_first(),
-            Trouble::FalseReader => self.false_reader = self.first_reader(),
+    fn start_fault(&mut self) {
+        match self.fault {
+            Fault::HalfRestart => self.restart(2),
+            Fault::AllRestart => self.restart(1),
+            Fault::FirstGone => self.remove_readers_and_relays(),
+            Fault::FalseReader => self.false_reader = self.first_reader(),
             _ => {}
         }
     }
 
-    /// Each `every`th box starts again.
+    /// Restarts every `every`th box with no state.
     fn restart(&mut self, every: usize) {
-        for at in (0..self.boxes.len()).step_by(every) {
-            self.boxes[at] = ModelBox::start(at, self.now_ms, &mut self.draws);
+        for index in (0..self.boxes.len()).step_by(every) {
+            self.boxes[index] = ModelBox::start(index, self.now_ms, &mut self.rng);
         }
     }
 
-    /// Takes away whoever does not only listen, and some more.
-    fn lose_first(&mut self) {
-        let busy = self.present().into_iter().filter(|at| self.boxes[*at].duty(self.now_ms) != ReadRole::Follower);
-        let busy: Vec<usize> = busy.collect();
-        let following = self.boxes.len() / 20;
-        self.gone.extend(busy.into_iter().chain(0..following));
+    /// Removes all readers and relays for good, and the first twentieth of all boxes.
+    fn remove_readers_and_relays(&mut self) {
+        let readers_and_relays = self
+            .present_boxes()
+            .into_iter()
+            .filter(|index| self.boxes[*index].read_role(self.now_ms) != ReadRole::Follower);
+        let readers_and_relays: Vec<usize> = readers_and_relays.collect();
+        let first_boxes = self.boxes.len() / 20;
+        self.removed_boxes.extend(readers_and_relays.into_iter().chain(0..first_boxes));
     }
 
     fn first_reader(&self) -> Option<(usize, Position)> {
-        let reads = |at: &usize| self.boxes[*at].duty(self.now_ms) == ReadRole::Reader;
-        let at = self.present().into_iter().find(reads)?;
-        Some((at, self.boxes[at].reading.next_position()?))
+        let is_reader = |index: &usize| self.boxes[*index].read_role(self.now_ms) == ReadRole::Reader;
+        let index = self.present_boxes().into_iter().find(is_reader)?;
+        Some((index, self.boxes[index].log_progress.next_position()?))
     }
 
-    const fn in_trouble(&self) -> bool {
-        self.now_ms >= TROUBLE_MS.0 && self.now_ms < TROUBLE_MS.1
+    const fn is_fault_active(&self) -> bool {
+        self.now_ms >= FAULT_WINDOW_MS.0 && self.now_ms < FAULT_WINDOW_MS.1
     }
 
-    fn log_answers(&self, at: usize) -> bool {
-        match self.trouble {
-            _ if !self.in_trouble() => true,
-            Trouble::Outage => false,
-            Trouble::TurnsAway => !at.is_multiple_of(3) && self.boxes[at].duty(self.now_ms) != ReadRole::Reader,
-            Trouble::FalseReader => self.false_reader.is_none_or(|(other, _)| other != at),
+    fn log_answers(&self, index: usize) -> bool {
+        match self.fault {
+            _ if !self.is_fault_active() => true,
+            Fault::Outage => false,
+            Fault::TurnsAway => {
+                !index.is_multiple_of(3) && self.boxes[index].read_role(self.now_ms) != ReadRole::Reader
+            }
+            Fault::FalseReader => self.false_reader.is_none_or(|(other, _)| other != index),
             _ => true,
         }
     }
 
-    fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_cut = self.trouble == Trouble::CutOff && self.in_trouble();
-        !self.gone.contains(&to) && (!is_cut || from % DATA_CENTRES == to % DATA_CENTRES)
+    fn can_reach(&self, from: usize, to: usize) -> bool {
+        let is_cut = self.fault == Fault::CutOff && self.is_fault_active();
+        !self.removed_boxes.contains(&to) && (!is_cut || from % DATA_CENTRES == to % DATA_CENTRES)
     }
 
-    /// The end of the log: an era later and some seconds back once it has returned from a copy.
-    const fn end_of_log(&self) -> Position {
-        if matches!(self.trouble, Trouble::LogReturn) && self.now_ms >= TROUBLE_MS.0 {
-            Position::new(1, self.now_ms - COPY_AGE_MS)
+    /// Returns the end of the log. After the log was restored from an older copy, the era is higher and the offset is
+    /// `RESTORED_COPY_AGE_MS` lower.
+    const fn log_end(&self) -> Position {
+        if matches!(self.fault, Fault::LogReturn) && self.now_ms >= FAULT_WINDOW_MS.0 {
+            Position::new(1, self.now_ms - RESTORED_COPY_AGE_MS)
         } else {
             Position::new(0, self.now_ms)
         }
     }
 
-    /// Reads the log where this box has to.
-    fn follow_log(&mut self, at: usize) {
-        self.read_again(at);
+    /// Reads the log if this box must read it itself now.
+    fn read_log_if_due(&mut self, index: usize) {
+        self.reread_if_due(index);
         let now_ms = self.now_ms;
-        let model = &self.boxes[at];
-        let is_fresh = model.reading.is_fresh(now_ms);
-        let is_left = at >= SEEDS && now_ms < model.started_ms + model.left_ms;
-        let duty = model.duty(now_ms);
-        if is_fresh && duty != ReadRole::Reader {
-            self.boxes[at].spread_until_ms = None;
+        let model_box = &self.boxes[index];
+        let is_fresh = model_box.log_progress.is_fresh(now_ms);
+        let waits_after_start = index >= SEED_BOXES && now_ms < model_box.started_ms + model_box.startup_log_delay_ms;
+        let read_role = model_box.read_role(now_ms);
+        if is_fresh && read_role != ReadRole::Reader {
+            self.boxes[index].read_delay_until_ms = None;
             return;
         }
-        if now_ms >= model.next_call_ms && !is_left && self.has_waited(at, duty, is_fresh) {
-            self.read(at, duty);
+        if now_ms >= model_box.next_call_ms && !waits_after_start && self.check_read_delay(index, read_role, is_fresh) {
+            self.read_log(index, read_role);
         }
     }
 
-    /// Whether a box that nobody told enough has left the log to others that read the same.
-    fn has_waited(&mut self, at: usize, duty: ReadRole, is_fresh: bool) -> bool {
+    /// Returns whether the random delay before a read is over. A reader, and a box whose state is fresh, have no delay;
+    /// any other box waits, since another box may read the same records and send them first.
+    fn check_read_delay(&mut self, index: usize, read_role: ReadRole, is_fresh: bool) -> bool {
         let now_ms = self.now_ms;
-        let model = &mut self.boxes[at];
-        let spread_ms = self.draws.random_range(0..model.reading.pause_ms());
-        if !is_fresh && duty != ReadRole::Reader && now_ms < *model.spread_until_ms.get_or_insert(now_ms + spread_ms) {
+        let model_box = &mut self.boxes[index];
+        let delay_ms = self.rng.random_range(0..model_box.log_progress.pause_ms());
+        if !is_fresh
+            && read_role != ReadRole::Reader
+            && now_ms < *model_box.read_delay_until_ms.get_or_insert(now_ms + delay_ms)
+        {
             return false;
         }
-        model.spread_until_ms = None;
+        model_box.read_delay_until_ms = None;
         true
     }
 
-    fn read(&mut self, at: usize, duty: ReadRole) {
+    fn read_log(&mut self, index: usize, read_role: ReadRole) {
         let now_ms = self.now_ms;
-        self.traffic.on_call(CallCause::Reads, duty);
-        if !self.log_answers(at) {
-            let draw = self.draws.random();
-            let model = &mut self.boxes[at];
-            model.next_call_ms = now_ms + model.pauses.next_delay_ms(duty, LEAVING_KNOWN_MS, draw);
+        self.traffic.record_call(CallCause::ReadRecords, read_role);
+        if !self.log_answers(index) {
+            let draw = self.rng.random();
+            let model_box = &mut self.boxes[index];
+            model_box.next_call_ms =
+                now_ms + model_box.retry_backoff.next_delay_ms(read_role, LEAVE_PROPAGATION_MS, draw);
             return;
         }
-        let end = self.end_of_log();
-        let model = &mut self.boxes[at];
-        model.pauses.reset();
-        model.reading.advance(end, now_ms);
-        model.next_call_ms = now_ms + model.reading.pause_ms();
-        if now_ms >= WRITTEN_MS {
-            model.known_ms.get_or_insert(now_ms);
+        let end = self.log_end();
+        let model_box = &mut self.boxes[index];
+        model_box.retry_backoff.reset();
+        model_box.log_progress.advance(end, now_ms);
+        model_box.next_call_ms = now_ms + model_box.log_progress.pause_ms();
+        if now_ms >= RECORD_WRITTEN_MS {
+            model_box.record_known_ms.get_or_insert(now_ms);
         }
-        let lists = duty != ReadRole::Follower && now_ms >= model.next_list_ms;
-        self.note_era(at);
-        if lists {
-            self.list_boxes(at, duty);
+        let is_list_due = read_role != ReadRole::Follower && now_ms >= model_box.next_list_ms;
+        self.schedule_reread_on_new_era(index);
+        if is_list_due {
+            self.list_boxes(index, read_role);
         }
     }
 
-    /// A box that learns of a later era of the log reads all again, in a while.
-    fn note_era(&mut self, at: usize) {
+    /// Schedules a second read of all records, after a random delay, once the box learns of a new era of the log.
+    fn schedule_reread_on_new_era(&mut self, index: usize) {
         let is_later = |next: &Position| *next >= Position::new(1, 0);
-        let model = &mut self.boxes[at];
-        if model.era == 0 && model.reading.next_position().as_ref().is_some_and(is_later) {
-            model.era = 1;
-            model.read_again_ms = Some(self.now_ms + self.draws.random_range(0..READ_AGAIN_MS));
+        let model_box = &mut self.boxes[index];
+        if model_box.era == 0 && model_box.log_progress.next_position().as_ref().is_some_and(is_later) {
+            model_box.era = 1;
+            model_box.reread_at_ms = Some(self.now_ms + self.rng.random_range(0..REREAD_SPREAD_MS));
         }
     }
 
-    fn read_again(&mut self, at: usize) {
+    fn reread_if_due(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        if self.boxes[at].read_again_ms.take_if(|again_ms| now_ms >= *again_ms).is_some() {
-            let duty = self.boxes[at].duty(now_ms);
-            self.traffic.on_call(CallCause::ReadsAgain, duty);
+        if self.boxes[index].reread_at_ms.take_if(|reread_at_ms| now_ms >= *reread_at_ms).is_some() {
+            let read_role = self.boxes[index].read_role(now_ms);
+            self.traffic.record_call(CallCause::Reread, read_role);
         }
     }
 
-    /// Writes this box into the list of boxes, and reads who else is there.
-    fn list_boxes(&mut self, at: usize, duty: ReadRole) {
-        self.traffic.on_call(CallCause::Lists, duty);
-        let model = &mut self.boxes[at];
-        let every_ms = if duty == ReadRole::Reader { LIST_EVERY_MS.0 } else { LIST_EVERY_MS.1 };
-        model.next_list_ms = self.now_ms + every_ms;
-        if self.written.insert(model.name.clone(), model.record.clone()).is_none() {
-            self.traffic.on_call(CallCause::Writes, duty);
+    /// Writes the record of this box into the list of boxes, and reads the records of the other boxes.
+    fn list_boxes(&mut self, index: usize, read_role: ReadRole) {
+        self.traffic.record_call(CallCause::ListBoxes, read_role);
+        let model_box = &mut self.boxes[index];
+        let interval_ms = if read_role == ReadRole::Reader { LIST_INTERVALS_MS.0 } else { LIST_INTERVALS_MS.1 };
+        model_box.next_list_ms = self.now_ms + interval_ms;
+        if self.listed_boxes.insert(model_box.name.clone(), model_box.record.clone()).is_none() {
+            self.traffic.record_call(CallCause::WriteBox, read_role);
         }
-        for (name, record) in self.written.iter().filter(|(name, _)| **name != model.name) {
-            model.others.insert(name, record.clone());
+        for (name, record) in self.listed_boxes.iter().filter(|(name, _)| **name != model_box.name) {
+            model_box.other_boxes.insert(name, record.clone());
         }
     }
 
-    fn ask(&mut self, at: usize) {
+    fn poll(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        let draw = self.draws.random();
-        let seed = self.draws.random_range(0..SEEDS);
-        if self.boxes[at].others.is_empty() {
-            self.ask_one(at, seed, true);
+        let draw = self.rng.random();
+        let seed_box = self.rng.random_range(0..SEED_BOXES);
+        if self.boxes[index].other_boxes.is_empty() {
+            self.poll_box(index, seed_box, true);
             return;
         }
-        let ModelBox { name, data_centre, others, reading, questions, started_ms, .. } = &mut self.boxes[at];
-        let asks_seeds = now_ms < *started_ms + SEEDS_ASKED_MS;
-        let asked = questions.next(reading, LocalBox { name, data_centre }, others, draw, now_ms);
-        let is_fresh = reading.is_fresh(now_ms);
-        if let Some(to) = asked.source {
-            self.ask_one(at, self.by_addr[&to], true);
+        let ModelBox { name, data_centre, other_boxes, log_progress, poll_schedule, started_ms, .. } =
+            &mut self.boxes[index];
+        let polls_seed_boxes = now_ms < *started_ms + SEED_POLLING_MS;
+        let targets = poll_schedule.next(log_progress, LocalBox { name, data_centre }, other_boxes, draw, now_ms);
+        let is_fresh = log_progress.is_fresh(now_ms);
+        if let Some(addr) = targets.source {
+            self.poll_box(index, self.by_addr[&addr], true);
         }
-        if let Some(to) = asked.random {
-            let to = if asks_seeds && self.draws.random_bool(0.5) { seed } else { self.by_addr[&to] };
-            self.ask_one(at, to, !is_fresh);
+        if let Some(addr) = targets.random {
+            let polled = if polls_seed_boxes && self.rng.random_bool(0.5) { seed_box } else { self.by_addr[&addr] };
+            self.poll_box(index, polled, !is_fresh);
         }
     }
 
-    /// Asks one box, and takes what it tells: who is there, and how far it has read.
-    fn ask_one(&mut self, at: usize, to: usize, relies: bool) {
-        if at == to {
+    /// Polls one box and applies its answer: the list of boxes and, with `applies_progress`, how far it has read the log.
+    fn poll_box(&mut self, poller: usize, polled: usize, applies_progress: bool) {
+        if poller == polled {
             return;
         }
         let now_ms = self.now_ms;
-        if !self.reaches(at, to) {
-            let asker = &mut self.boxes[at];
-            asker.reading.skip_source();
-            asker.others.on_poll_unanswered(addr(to), now_ms);
+        if !self.can_reach(poller, polled) {
+            let poller_box = &mut self.boxes[poller];
+            poller_box.log_progress.skip_source();
+            poller_box.other_boxes.on_poll_unanswered(addr(polled), now_ms);
             return;
         }
-        self.note_question(at, to);
-        self.tell_boxes(at, to);
-        if relies {
-            self.tell_reading(at, to);
+        self.register_poller(poller, polled);
+        self.send_box_list(poller, polled);
+        if applies_progress {
+            self.send_log_progress(poller, polled);
         }
-        if self.boxes[to].known_ms.is_some() {
-            self.boxes[at].known_ms.get_or_insert(now_ms);
+        if self.boxes[polled].record_known_ms.is_some() {
+            self.boxes[poller].record_known_ms.get_or_insert(now_ms);
         }
     }
 
-    /// The box that is asked learns who asks.
-    fn note_question(&mut self, at: usize, to: usize) {
+    /// Adds the polling box to the box list of the polled box.
+    fn register_poller(&mut self, poller: usize, polled: usize) {
         let now_ms = self.now_ms;
-        let (name, record) = (self.boxes[at].name.clone(), self.boxes[at].record.clone());
-        self.answered[to] += 1;
-        let asked = &mut self.boxes[to];
-        asked.others.insert(&name, record);
-        asked.others.on_heard(addr(at), now_ms);
+        let (name, record) = (self.boxes[poller].name.clone(), self.boxes[poller].record.clone());
+        self.answered_polls[polled] += 1;
+        let polled_box = &mut self.boxes[polled];
+        polled_box.other_boxes.insert(&name, record);
+        polled_box.other_boxes.on_heard(addr(poller), now_ms);
     }
 
-    /// Tells which boxes there are, where the lists differ, and which of them answer nobody.
-    fn tell_boxes(&mut self, at: usize, to: usize) {
+    /// Sends the box list of the polled box if the lists differ, and the boxes that it counts as silent.
+    fn send_box_list(&mut self, poller: usize, polled: usize) {
         let now_ms = self.now_ms;
-        let is_same = self.boxes[to].digest() == self.boxes[at].digest();
-        let listed = if is_same { Vec::new() } else { self.boxes[to].listed() };
-        let silent: Vec<String> = self.boxes[to].others.locally_silent(now_ms).map(str::to_owned).collect();
-        let knows_nothing =
-            self.boxes[at].reading.next_position().is_none() && self.boxes[to].reading.next_position().is_some();
+        let is_same_list = self.boxes[polled].digest() == self.boxes[poller].digest();
+        let sent_boxes = if is_same_list { Vec::new() } else { self.boxes[polled].all_boxes() };
+        let silent_boxes: Vec<String> =
+            self.boxes[polled].other_boxes.locally_silent(now_ms).map(str::to_owned).collect();
+        let needs_full_state = self.boxes[poller].log_progress.next_position().is_none()
+            && self.boxes[polled].log_progress.next_position().is_some();
         let boxes = self.boxes.len() as u64;
-        self.answered_bytes[to] += self.traffic.on_answer(listed.len() as u64, knows_nothing, boxes);
-        let asker = &mut self.boxes[at];
-        for (name, record) in listed.into_iter().filter(|(name, _)| *name != asker.name) {
-            asker.others.insert(&name, record);
+        self.answered_bytes[polled] +=
+            self.traffic.record_poll_answer(sent_boxes.len() as u64, needs_full_state, boxes);
+        let poller_box = &mut self.boxes[poller];
+        for (name, record) in sent_boxes.into_iter().filter(|(name, _)| *name != poller_box.name) {
+            poller_box.other_boxes.insert(&name, record);
         }
-        asker.others.on_heard(addr(to), now_ms);
-        silent
+        poller_box.other_boxes.on_heard(addr(polled), now_ms);
+        silent_boxes
             .iter()
-            .filter(|name| **name != asker.name)
-            .for_each(|name| asker.others.apply_reported_silence(name, now_ms));
+            .filter(|name| **name != poller_box.name)
+            .for_each(|name| poller_box.other_boxes.apply_reported_silence(name, now_ms));
     }
 
-    /// Tells how far the box has read, and when.
-    fn tell_reading(&mut self, at: usize, to: usize) {
+    /// Sends how far the polled box has read the log, and when.
+    fn send_log_progress(&mut self, poller: usize, polled: usize) {
         let now_ms = self.now_ms;
-        let reading = &self.boxes[to].reading;
-        let told = match self.false_reader.filter(|(other, _)| *other == to && self.in_trouble()) {
+        let log_progress = &self.boxes[polled].log_progress;
+        let reported = match self.false_reader.filter(|(other, _)| *other == polled && self.is_fault_active()) {
             Some((_, position)) => Some((position, now_ms)),
-            None => reading.next_position().map(|next| (next, now_ms.saturating_sub(reading.age_ms(now_ms)))),
+            None => log_progress.next_position().map(|next| (next, now_ms.saturating_sub(log_progress.age_ms(now_ms)))),
         };
-        if let Some((next, as_of_ms)) = told {
-            self.boxes[at].reading.apply_peer_progress(next, as_of_ms, now_ms);
-            self.note_era(at);
+        if let Some((next, as_of_ms)) = reported {
+            self.boxes[poller].log_progress.apply_peer_progress(next, as_of_ms, now_ms);
+            self.schedule_reread_on_new_era(poller);
         }
     }
 }
--- a/crates/ochreyard-fleet-model/src/lib.rs
+++ b/crates/ochreyard-fleet-model/src/lib.rs
@@ -1,21 +1,22 @@
-//! A model of a whole fleet of boxes: who reads the platform's log, who tells whom, and what that costs.
+//! A simulation of a whole fleet of boxes: which boxes read the platform's log, which boxes poll each other, and what
+//! traffic that causes.
 //!
-//! The decisions are those of `ochreyard-core`, as they are; time is virtual, the network and the log are stand-ins that draw
-//! from a seed. `fleet-model --help` names the arguments of the experiment tool.
+//! The decisions are made by the code of `ochreyard-core`. Time is virtual; the network and the log are simulated, with a
+//! seeded random number generator. `fleet-model --help` lists the arguments of the command-line tool.
 
+mod fault;
 mod fleet;
-mod known_after;
 mod model_box;
+mod parameters;
 mod plot;
+mod propagation_times;
 mod sample;
-mod site;
 mod traffic;
-mod trouble;
 
+pub use fault::{Fault, ParseFaultError};
 pub use fleet::Fleet;
-pub use known_after::KnownAfter;
+pub use parameters::LEAVE_PROPAGATION_MS;
 pub use plot::{PlotError, draw_plot};
-pub use sample::{LENGTH_MS, START_MS, Sample};
-pub use site::LEAVING_KNOWN_MS;
+pub use propagation_times::PropagationTimes;
+pub use sample::{RUN_MS, STARTUP_MS, Sample};
 pub use traffic::{CallCause, Traffic};
-pub use trouble::{NoTrouble, Trouble};
--- a/crates/ochreyard-fleet-model/src/main.rs
+++ b/crates/ochreyard-fleet-model/src/main.rs
@@ -1,4 +1,4 @@
-//! The experiment tool: plays the model at several sizes and prints a table.
+//! The command-line tool: runs the simulation at several fleet sizes and prints tables.
 
 mod flags;
 
@@ -6,24 +6,24 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use miette::{IntoDiagnostic, Result, WrapErr, miette};
-use ochreyard_fleet_model::{Sample, Trouble, draw_plot};
+use ochreyard_fleet_model::{Fault, Sample, draw_plot};
 use rayon::prelude::*;
 
 use crate::flags::FleetModel;
 
-/// Sizes that are played where none is named.
-const SIZES: &str = "30,100,300,1000,2000";
-/// Fewer boxes than this have none that is only told.
-const FEWEST_BOXES: usize = 6;
-/// Addresses of the model end there.
-const MOST_BOXES: usize = 60_000;
+/// Fleet sizes that are simulated if the command line names none.
+const DEFAULT_SIZES: &str = "30,100,300,1000,2000";
+/// Smallest fleet; with fewer boxes, no box would be a follower.
+const MIN_BOXES: usize = 6;
+/// Largest fleet for which the simulation has addresses.
+const MAX_BOXES: usize = 60_000;
 
 fn main() -> Result<()> {
     let flags = FleetModel::from_env().unwrap_or_else(|error| error.exit());
-    let sizes = sizes(flags.boxes.as_deref().unwrap_or(SIZES))?;
-    let troubles = troubles(flags.troubles.as_deref())?;
+    let sizes = parse_sizes(flags.boxes.as_deref().unwrap_or(DEFAULT_SIZES))?;
+    let faults = parse_faults(flags.troubles.as_deref())?;
     let seeds = flags.seeds.unwrap_or(1).max(1);
-    let samples = play_all(&sizes, &troubles, seeds);
+    let samples = run_all(&sizes, &faults, seeds);
     print_table(&samples);
     if let Some(path) = &flags.json {
         write_json(&samples, path)?;
@@ -34,39 +34,39 @@
     Ok(())
 }
 
-fn sizes(list: &str) -> Result<Vec<usize>> {
-    list.split(',').map(size).collect()
+fn parse_sizes(list: &str) -> Result<Vec<usize>> {
+    list.split(',').map(parse_size).collect()
 }
 
-fn size(word: &str) -> Result<usize> {
-    let boxes = word.trim().parse().ok().filter(|boxes| (FEWEST_BOXES..=MOST_BOXES).contains(boxes));
+fn parse_size(word: &str) -> Result<usize> {
+    let boxes = word.trim().parse().ok().filter(|boxes| (MIN_BOXES..=MAX_BOXES).contains(boxes));
     boxes.ok_or_else(|| {
         miette!(
-            "--boxes: `{word}` is no number of boxes; name numbers from {FEWEST_BOXES} to {MOST_BOXES}, with commas"
+            "--boxes: `{word}` is not a number of boxes; give numbers from {MIN_BOXES} to {MAX_BOXES}, separated by commas"
         )
     })
 }
 
-fn troubles(list: Option<&str>) -> Result<Vec<Trouble>> {
-    let Some(list) = list else { return Ok(Trouble::ALL.to_vec()) };
+fn parse_faults(list: Option<&str>) -> Result<Vec<Fault>> {
+    let Some(list) = list else { return Ok(Fault::ALL.to_vec()) };
     let words = list.split(',').map(str::trim);
     words.map(|word| word.parse().map_err(|error| miette!("--troubles: {error}"))).collect()
 }
 
-fn play_all(sizes: &[usize], troubles: &[Trouble], seeds: u64) -> Vec<Sample> {
-    let runs: Vec<(usize, Trouble, u64)> = sizes
+fn run_all(sizes: &[usize], faults: &[Fault], seeds: u64) -> Vec<Sample> {
+    let runs: Vec<(usize, Fault, u64)> = sizes
         .iter()
-        .flat_map(|boxes| troubles.iter().map(move |trouble| (*boxes, *trouble)))
-        .flat_map(|(boxes, trouble)| (0..seeds).map(move |seed| (boxes, trouble, seed)))
+        .flat_map(|boxes| faults.iter().map(move |fault| (*boxes, *fault)))
+        .flat_map(|(boxes, fault)| (0..seeds).map(move |seed| (boxes, fault, seed)))
         .collect();
-    let (count, done) = (runs.len(), AtomicUsize::new(0));
-    let play = |(boxes, trouble, seed): (usize, Trouble, u64)| {
-        let sample = Sample::play(boxes, trouble, seed);
-        let number = done.fetch_add(1, Ordering::Relaxed) + 1;
-        eprintln!("run {number} of {count}: boxes={boxes} trouble={} seed={seed}", trouble.name());
+    let (run_count, finished_runs) = (runs.len(), AtomicUsize::new(0));
+    let run = |(boxes, fault, seed): (usize, Fault, u64)| {
+        let sample = Sample::run(boxes, fault, seed);
+        let number = finished_runs.fetch_add(1, Ordering::Relaxed) + 1;
+        eprintln!("run {number} of {run_count}: boxes={boxes} trouble={} seed={seed}", fault.name());
         sample
     };
-    runs.into_par_iter().map(play).collect()
+    runs.into_par_iter().map(run).collect()
 }
 
 fn print_table(samples: &[Sample]) {
@@ -74,10 +74,10 @@
         &["calls at the start", "calls in all", "of readers", "of relays", "of told", "read again", "lists, writes"],
         samples,
         |sample| {
-            let whole = &sample.whole;
-            let calls = [sample.start.calls(), whole.calls(), whole.reads_of_readers, whole.reads_of_relays];
-            let others = [whole.reads_of_told, whole.reads_again, whole.lists + whole.writes];
-            calls.iter().chain(&others).map(u64::to_string).collect()
+            let total = &sample.total;
+            let calls = [sample.startup.calls(), total.calls(), total.reads_by_readers, total.reads_by_relays];
+            let other_calls = [total.reads_by_followers, total.rereads, total.lists + total.writes];
+            calls.iter().chain(&other_calls).map(u64::to_string).collect()
         },
     );
     println!();
@@ -85,21 +85,21 @@
         &["known after, middle ms", "p99", "last", "questions, busiest", "kB a second, middle", "busiest"],
         samples,
         |sample| {
-            let known = &sample.known_after;
-            let counts = [known.middle_ms, known.p99_ms, known.last_ms, sample.most_questions];
-            let bytes_a_second = [sample.middle_bytes_a_second(), sample.most_bytes_a_second()];
-            let kilobytes = bytes_a_second.iter().map(|bytes| format!("{:.1}", bytes / 1_000.0));
+            let times = &sample.propagation_times;
+            let counts = [times.median_ms, times.p99_ms, times.last_ms, sample.max_answered_polls];
+            let bytes_per_second = [sample.median_bytes_per_second(), sample.max_bytes_per_second()];
+            let kilobytes = bytes_per_second.iter().map(|bytes| format!("{:.1}", bytes / 1_000.0));
             counts.iter().map(u64::to_string).chain(kilobytes).collect()
         },
     );
 }
 
-fn print_rows(heads: &[&str], samples: &[Sample], cells: impl Fn(&Sample) -> Vec<String>) {
-    println!("| boxes | trouble | seed | {} |", heads.join(" | "));
-    println!("|{}", "---|".repeat(heads.len() + 3));
+fn print_rows(column_titles: &[&str], samples: &[Sample], cells: impl Fn(&Sample) -> Vec<String>) {
+    println!("| boxes | trouble | seed | {} |", column_titles.join(" | "));
+    println!("|{}", "---|".repeat(column_titles.len() + 3));
     for sample in samples {
-        let run = format!("{} | {} | {}", sample.boxes, sample.trouble.name(), sample.seed);
-        println!("| {run} | {} |", cells(sample).join(" | "));
+        let run_columns = format!("{} | {} | {}", sample.boxes, sample.fault.name(), sample.seed);
+        println!("| {run_columns} | {} |", cells(sample).join(" | "));
     }
 }
 
--- a/crates/ochreyard-fleet-model/src/sample.rs
+++ b/crates/ochreyard-fleet-model/src/sample.rs
@@ -1,84 +1,91 @@
-//! The figures of one run.
+//! The measured figures of one run.
 
 use serde::Serialize;
 
+use crate::fault::Fault;
 use crate::fleet::Fleet;
-use crate::known_after::KnownAfter;
+use crate::propagation_times::PropagationTimes;
 use crate::traffic::Traffic;
-use crate::trouble::Trouble;
 
-/// How long a run takes, in milliseconds of its own time.
-pub const LENGTH_MS: u64 = 30_000;
-/// Which part of it is the start, in milliseconds.
-pub const START_MS: u64 = 6_000;
+/// Length of a run, in milliseconds of virtual time.
+pub const RUN_MS: u64 = 30_000;
+/// Length of the startup phase at the beginning of a run, in milliseconds of virtual time.
+pub const STARTUP_MS: u64 = 6_000;
 
-/// What one run came to.
+/// The figures of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Sample {
-    /// Boxes of the fleet.
+    /// Number of boxes in the fleet.
     pub boxes: usize,
-    /// What went wrong.
-    pub trouble: Trouble,
-    /// The seed of all that was drawn.
+    /// The injected fault.
+    #[serde(rename = "trouble")]
+    pub fault: Fault,
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// What was called, asked and sent in the first [`START_MS`].
-    pub start: Traffic,
-    /// The same in the whole of [`LENGTH_MS`].
-    pub whole: Traffic,
-    /// Questions that the busiest box answered.
-    pub most_questions: u64,
-    /// Bytes of answers of the middle box after the start.
-    pub middle_bytes: u64,
-    /// The same of the busiest box.
-    pub most_bytes: u64,
-    /// How long until boxes knew of a record.
-    pub known_after: KnownAfter,
+    /// The traffic in the first [`STARTUP_MS`].
+    #[serde(rename = "start")]
+    pub startup: Traffic,
+    /// The traffic in the whole of [`RUN_MS`].
+    #[serde(rename = "whole")]
+    pub total: Traffic,
+    /// Number of polls that the busiest box answered.
+    #[serde(rename = "most_questions")]
+    pub max_answered_polls: u64,
+    /// Bytes of answers that the median box sent after the startup phase.
+    #[serde(rename = "middle_bytes")]
+    pub median_bytes: u64,
+    /// Bytes of answers that the busiest box sent after the startup phase.
+    #[serde(rename = "most_bytes")]
+    pub max_bytes: u64,
+    /// How long the boxes took to learn of a record.
+    #[serde(rename = "known_after")]
+    pub propagation_times: PropagationTimes,
 }
 
 impl Sample {
-    /// Plays one run.
+    /// Simulates one run.
     #[must_use]
-    pub fn play(boxes: usize, trouble: Trouble, seed: u64) -> Self {
-        let mut fleet = Fleet::new(boxes, trouble, seed);
-        fleet.run_until(START_MS);
-        let start = fleet.traffic();
-        let bytes_of_start = fleet.answered_bytes().to_vec();
-        fleet.run_until(LENGTH_MS);
+    pub fn run(boxes: usize, fault: Fault, seed: u64) -> Self {
+        let mut fleet = Fleet::new(boxes, fault, seed);
+        fleet.run_until(STARTUP_MS);
+        let startup = fleet.traffic();
+        let startup_bytes = fleet.answered_bytes().to_vec();
+        fleet.run_until(RUN_MS);
         let mut bytes: Vec<u64> =
-            fleet.answered_bytes().iter().zip(&bytes_of_start).map(|(whole, start)| whole - start).collect();
+            fleet.answered_bytes().iter().zip(&startup_bytes).map(|(total, startup)| total - startup).collect();
         bytes.sort_unstable();
         Self {
             boxes,
-            trouble,
+            fault,
             seed,
-            start,
-            whole: fleet.traffic(),
-            most_questions: fleet.most_questions(),
-            middle_bytes: bytes[bytes.len() / 2],
-            most_bytes: bytes[bytes.len() - 1],
-            known_after: fleet.known_after(),
+            startup,
+            total: fleet.traffic(),
+            max_answered_polls: fleet.max_answered_polls(),
+            median_bytes: bytes[bytes.len() / 2],
+            max_bytes: bytes[bytes.len() - 1],
+            propagation_times: fleet.propagation_times(),
         }
     }
 
-    /// Calls to the log a minute, after the start.
+    /// Returns the calls to the log per minute after the startup phase.
     #[must_use]
-    pub fn calls_a_minute(&self) -> f64 {
-        (self.whole.calls() - self.start.calls()) as f64 * 60_000.0 / (LENGTH_MS - START_MS) as f64
+    pub fn calls_per_minute(&self) -> f64 {
+        (self.total.calls() - self.startup.calls()) as f64 * 60_000.0 / (RUN_MS - STARTUP_MS) as f64
     }
 
-    /// Bytes of answers that the middle box sent in a second, after the start.
+    /// Returns the bytes of answers per second that the median box sent after the startup phase.
     #[must_use]
-    pub fn middle_bytes_a_second(&self) -> f64 {
-        a_second(self.middle_bytes)
+    pub fn median_bytes_per_second(&self) -> f64 {
+        per_second(self.median_bytes)
     }
 
-    /// The same of the busiest box.
+    /// Returns the bytes of answers per second that the busiest box sent after the startup phase.
     #[must_use]
-    pub fn most_bytes_a_second(&self) -> f64 {
-        a_second(self.most_bytes)
+    pub fn max_bytes_per_second(&self) -> f64 {
+        per_second(self.max_bytes)
     }
 }
 
-fn a_second(bytes: u64) -> f64 {
-    bytes as f64 * 1_000.0 / (LENGTH_MS - START_MS) as f64
+fn per_second(bytes: u64) -> f64 {
+    bytes as f64 * 1_000.0 / (RUN_MS - STARTUP_MS) as f64
 }
--- a/crates/ochreyard-fleet-model/tests/command_line.rs
+++ b/crates/ochreyard-fleet-model/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The experiment tool as a process.
+//! Runs the command-line tool as a process.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -9,13 +9,13 @@
     Command::new(env!("CARGO_BIN_EXE_fleet-model")).args(args).output().expect("the tool starts")
 }
 
-fn file(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("fleet-model-{}-{name}", std::process::id()))
 }
 
 #[test]
-fn it_prints_a_table_and_writes_figures_and_a_plot() {
-    let (json, plot) = (file("figures.json"), file("plot.svg"));
+fn prints_a_table_and_writes_json_and_a_plot() {
+    let (json, plot) = (temp_path("figures.json"), temp_path("plot.svg"));
     let paths = [json.to_str().unwrap(), plot.to_str().unwrap()];
     let output = run(&["--boxes", "12,24", "--troubles", "none,cut_off", "--json", paths[0], "--plot", paths[1]]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -30,12 +30,16 @@
 }
 
 #[rstest]
-#[case::no_number("--boxes", "many", "--boxes: `many`")]
-#[case::too_few("--boxes", "2", "from 6 to 60000")]
-#[case::no_trouble("--troubles", "rain", "no trouble is called `rain`")]
-fn bad_arguments_are_named_with_what_they_may_be(#[case] flag: &str, #[case] value: &str, #[case] said: &str) {
+#[case::not_a_number("--boxes", "many", "--boxes: `many`")]
+#[case::too_few_boxes("--boxes", "2", "from 6 to 60000")]
+#[case::unknown_trouble("--troubles", "rain", "unknown trouble `rain`")]
+fn invalid_arguments_are_reported_with_the_allowed_values(
+    #[case] flag: &str,
+    #[case] value: &str,
+    #[case] message: &str,
+) {
     let output = run(&[flag, value]);
     assert!(!output.status.success());
     let error = String::from_utf8_lossy(&output.stderr).replace("\n  │ ", " ");
-    assert!(error.contains(said), "{error}");
+    assert!(error.contains(message), "{error}");
 }
