--- a/crates/ochreyard-stand-ins/src/cluster.rs
+++ b/crates/ochreyard-stand-ins/src/cluster.rs
@@ -1,8 +1,7 @@
-//! Starts the real programs and the stand-ins on loopback, for the demo and for
-//! tests of the whole.
+//! Starts the real programs and the stand-ins on loopback, for the demo and for end-to-end tests.
 //!
-//! Each cluster has an address of its own in 127.0.0.0/8, so that clusters side
-//! by side, and the ports of outgoing connections, never collide.
+//! Each cluster has its own address in 127.0.0.0/8. So the ports of clusters that run at the same time, and the ports of
+//! outgoing connections, never collide.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -16,44 +15,46 @@
 use serde_json::Value;
 use tokio::process::{Child, Command};
 
-use crate::rank_group::GroupSize;
+use crate::rank_group::GroupConfig;
 
-/// Token between entries and agents.
+/// Token with which entries and agents authenticate to each other.
 const PEER_TOKEN: &str = "peer-token";
-/// Token of the operators.
+/// Bearer token of the operators.
 pub const OPERATOR_TOKEN: &str = "operator-token";
-/// How often a condition is looked at, and how many times at the most.
-const POLL: Duration = Duration::from_millis(25);
+/// Interval at which [`wait_until`] checks its condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Largest number of checks in [`wait_until`].
 const MAX_POLLS: u32 = 2_400;
 
-static CLUSTERS: AtomicU8 = AtomicU8::new(1);
+/// The number of the next cluster of this process.
+static NEXT_CLUSTER_NUMBER: AtomicU8 = AtomicU8::new(1);
 
-/// The bearer token of a workspace in these clusters.
+/// Returns the bearer token of a workspace in these clusters.
 #[must_use]
 pub fn workspace_token(workspace: &str) -> String {
     format!("token-of-{workspace}")
 }
 
-/// Where an endpoint's agent is, and what it serves.
+/// An endpoint: what it serves, and where its agent listens.
 #[derive(Debug, Clone)]
-pub struct EndpointAt {
+pub struct EndpointSettings {
     /// Name of the endpoint.
     pub endpoint: String,
-    /// Its service.
+    /// Service that the endpoint serves.
     pub service: String,
-    /// Its data centre.
+    /// Data centre of the endpoint.
     pub data_centre: String,
-    /// `address:port` of its agent.
+    /// `address:port` of the endpoint's agent.
     pub agent_addr: String,
-    /// Requests at the same time.
+    /// Largest number of concurrent requests.
     pub slots: u32,
 }
 
-/// Processes on loopback. All of them end when this is dropped.
+/// A set of processes on loopback, which are killed when the cluster is dropped.
 pub struct Cluster {
     ip: Ipv4Addr,
     dir: PathBuf,
-    programs: PathBuf,
+    programs_dir: PathBuf,
     next_port: u16,
     entry_peers: Vec<String>,
     processes: BTreeMap<String, Process>,
@@ -68,25 +69,25 @@
 }
 
 impl Cluster {
-    /// An empty cluster.
+    /// Creates a cluster without processes.
     ///
     /// # Panics
     ///
-    /// When its folder cannot be made.
+    /// Panics if the cluster's folder cannot be created.
     #[must_use]
     pub fn new() -> Self {
         let pid = std::process::id();
-        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_CLUSTER_NUMBER.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::new(127, 1 + (pid % 250) as u8, (pid / 250 % 250) as u8, number);
         let dir = std::env::temp_dir().join(format!("ochreyard-{pid}-{number}"));
-        std::fs::create_dir_all(&dir).expect("the cluster's folder can be made");
-        std::fs::write(dir.join("peer-token"), PEER_TOKEN).expect("the token file can be written");
-        std::fs::write(dir.join("operator-token"), OPERATOR_TOKEN).expect("the token file can be written");
-        let http = reqwest::Client::builder().no_proxy().build().expect("an HTTP client can be made");
+        std::fs::create_dir_all(&dir).expect("the cluster's folder must be created");
+        std::fs::write(dir.join("peer-token"), PEER_TOKEN).expect("the token file must be written");
+        std::fs::write(dir.join("operator-token"), OPERATOR_TOKEN).expect("the token file must be written");
+        let http = reqwest::Client::builder().no_proxy().build().expect("the HTTP client must be built");
         Self {
             ip,
             dir,
-            programs: programs(),
+            programs_dir: programs_dir(),
             next_port: 7000,
             entry_peers: Vec::new(),
             processes: BTreeMap::new(),
@@ -94,115 +95,121 @@
         }
     }
 
-    /// An HTTP client without a proxy.
+    /// Returns an HTTP client that uses no proxy.
     #[must_use]
     pub const fn http(&self) -> &reqwest::Client {
         &self.http
     }
 
-    /// The folder of settings, tokens and logs.
+    /// Returns the folder of settings, tokens and logs.
     #[must_use]
     pub fn dir(&self) -> &Path {
         &self.dir
     }
 
-    /// A fresh address.
-    pub fn addr(&mut self) -> String {
+    /// Returns an `address:port` that is not used in this cluster yet.
+    pub fn new_addr(&mut self) -> String {
         self.next_port += 1;
         format!("{}:{}", self.ip, self.next_port)
     }
 
-    /// The path of a program or, under `examples/`, of a stand-in.
+    /// Returns the path of a program or, with the prefix `examples/`, of a stand-in.
     #[must_use]
-    pub fn program(&self, name: &str) -> PathBuf {
-        self.programs.join(name)
+    pub fn program_path(&self, name: &str) -> PathBuf {
+        self.programs_dir.join(name)
     }
 
     /// Starts the platform stand-in and returns its URL.
     pub async fn start_platform(&mut self) -> String {
-        let addr = self.addr();
+        let addr = self.new_addr();
         self.start_stand_in("platform", "platform", vec![addr.clone()]).await;
         format!("http://{addr}")
     }
 
     /// Starts a rank group stand-in and returns its URL.
-    pub async fn start_rank_group(&mut self, name: &str, size: GroupSize) -> String {
-        let addr = self.addr();
-        let numbers = [
-            size.ranks.to_string(),
-            size.step_ms.to_string(),
-            size.max_batch.to_string(),
-            size.prefill_steps.to_string(),
-            size.cached_prompts.to_string(),
+    pub async fn start_rank_group(&mut self, name: &str, config: GroupConfig) -> String {
+        let addr = self.new_addr();
+        let group_args = [
+            config.ranks.to_string(),
+            config.step_ms.to_string(),
+            config.max_batch.to_string(),
+            config.prefill_steps.to_string(),
+            config.cached_prompts.to_string(),
         ];
-        let args = std::iter::once(addr.clone()).chain(numbers).collect();
+        let args = std::iter::once(addr.clone()).chain(group_args).collect();
         self.start_stand_in(name, "rank_group", args).await;
         format!("http://{addr}")
     }
 
     /// Starts a plain service stand-in and returns its URL.
     pub async fn start_plain(&mut self, name: &str) -> String {
-        let addr = self.addr();
+        let addr = self.new_addr();
         self.start_stand_in(name, "plain", vec![addr.clone()]).await;
         format!("http://{addr}")
     }
 
     async fn start_stand_in(&mut self, name: &str, example: &str, args: Vec<String>) {
         let addr = args[0].clone();
-        self.spawn(name, self.program(&format!("examples/{example}")), args);
+        self.spawn(name, self.program_path(&format!("examples/{example}")), args);
         wait_for_port(&addr).await;
     }
 
-    /// Starts an entry; `extra` are further lines of its settings. Returns the
-    /// URLs for callers and for operators.
-    pub async fn start_entry(&mut self, name: &str, dc: &str, platform: &str, extra: &str) -> (String, String) {
-        let (callers, operators, peer) = (self.addr(), self.addr(), self.addr());
+    /// Starts an entry; `extra_settings` are further lines of its settings. Returns the URLs for callers and for
+    /// operators.
+    pub async fn start_entry(
+        &mut self,
+        name: &str,
+        data_centre: &str,
+        platform_url: &str,
+        extra_settings: &str,
+    ) -> (String, String) {
+        let (callers_addr, operators_addr, peer_addr) = (self.new_addr(), self.new_addr(), self.new_addr());
         let peers = self.entry_peers.join(", ");
-        self.entry_peers.push(peer.clone());
+        self.entry_peers.push(peer_addr.clone());
         let token_hash = sha256_hex(OPERATOR_TOKEN);
         let settings = format!(
-            "entry: {name}\ndata_centre: {dc}\ncallers_addr: {callers}\noperators_addr: {operators}\n\
-             peer_addr: {peer}\npeers: [{peers}]\n\
-             platform_url: {platform}\npeer_token_file: {}\noperator_token_sha256: {token_hash}\n{extra}\n",
+            "entry: {name}\ndata_centre: {data_centre}\ncallers_addr: {callers_addr}\noperators_addr: {operators_addr}\n\
+             peer_addr: {peer_addr}\npeers: [{peers}]\n\
+             platform_url: {platform_url}\npeer_token_file: {}\noperator_token_sha256: {token_hash}\n{extra_settings}\n",
             self.dir.join("peer-token").display()
         );
         self.start_program(name, "ochreyard", &settings);
-        wait_for_port(&callers).await;
-        (format!("http://{callers}"), format!("http://{operators}"))
+        wait_for_port(&callers_addr).await;
+        (format!("http://{callers_addr}"), format!("http://{operators_addr}"))
     }
 
-    /// Starts the agent of an endpoint; `extra` are further lines of its settings.
-    pub async fn start_agent(&mut self, at: &EndpointAt, endpoint_url: &str, extra: &str) {
-        let ops = self.addr();
+    /// Starts the agent of an endpoint; `extra_settings` are further lines of its settings.
+    pub async fn start_agent(&mut self, endpoint: &EndpointSettings, endpoint_url: &str, extra_settings: &str) {
+        let ops_addr = self.new_addr();
         let settings = format!(
-            "agent: agent-{}\nendpoint: {}\ndata_centre: {}\nagent_addr: {}\nops_addr: {ops}\n\
-             endpoint_url: {endpoint_url}\npeer_token_file: {}\n{extra}\n",
-            at.endpoint,
-            at.endpoint,
-            at.data_centre,
-            at.agent_addr,
+            "agent: agent-{}\nendpoint: {}\ndata_centre: {}\nagent_addr: {}\nops_addr: {ops_addr}\n\
+             endpoint_url: {endpoint_url}\npeer_token_file: {}\n{extra_settings}\n",
+            endpoint.endpoint,
+            endpoint.endpoint,
+            endpoint.data_centre,
+            endpoint.agent_addr,
             self.dir.join("peer-token").display()
         );
-        self.start_program(&format!("agent-{}", at.endpoint), "ochreyard-agent", &settings);
-        wait_for_port(&at.agent_addr).await;
+        self.start_program(&format!("agent-{}", endpoint.endpoint), "ochreyard-agent", &settings);
+        wait_for_port(&endpoint.agent_addr).await;
     }
 
     fn start_program(&mut self, name: &str, program: &str, settings: &str) {
         let path = self.dir.join(format!("{name}.yaml"));
-        std::fs::write(&path, settings).expect("settings can be written");
+        std::fs::write(&path, settings).expect("the settings file must be written");
         let args = vec!["serve".to_owned(), path.display().to_string()];
-        self.spawn(name, self.program(program), args);
+        self.spawn(name, self.program_path(program), args);
     }
 
     fn spawn(&mut self, name: &str, program: PathBuf, args: Vec<String>) {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.dir.join(format!("{name}.log")));
         let mut command = Command::new(&program);
         command.args(&args).kill_on_drop(true).stdin(std::process::Stdio::null());
-        command.stderr(log.expect("a log file can be opened"));
+        command.stderr(log.expect("the log file must be opened"));
         let child = command.spawn().unwrap_or_else(|error| {
             panic!("{} cannot be started ({error}); run `cargo test --workspace`", program.display())
         });
-        let pid = child.id().expect("a process that was just started has an id");
+        let pid = child.id().expect("a running process has an id");
         self.processes.insert(name.to_owned(), Process { child, program, args, pid });
     }
 
@@ -210,47 +217,46 @@
         self.processes.get_mut(name).unwrap_or_else(|| panic!("no process is called {name}"))
     }
 
-    /// Ends a process at once, as a power cut would.
+    /// Kills a process without a chance to clean up, as in a power failure.
     pub async fn kill(&mut self, name: &str) {
         let process = self.process(name);
-        process.child.kill().await.expect("a process of this cluster can be ended");
+        process.child.kill().await.expect("a process of this cluster can be killed");
     }
 
-    /// Starts an ended process again, with nothing kept.
+    /// Restarts an ended process with no state.
     pub async fn restart(&mut self, name: &str) {
         let process = self.processes.remove(name).unwrap_or_else(|| panic!("no process is called {name}"));
         self.spawn(name, process.program, process.args);
     }
 
-    /// Memory of a process that is in use, in KiB, and the processor time that it
-    /// has used, in ticks of 10 ms.
+    /// Returns the resident memory of a process, in KiB, and the processor time that it has used, in ticks of 10 ms.
     ///
     /// # Panics
     ///
-    /// When the process has ended.
+    /// Panics if the process has ended.
     #[must_use]
     pub fn usage(&self, name: &str) -> (u64, u64) {
         let pid = self.processes[name].pid;
-        let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
+        let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process must be running");
         let rss = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap_or("0 kB");
         let rss_kib = rss.trim().trim_end_matches(" kB").parse().unwrap_or(0);
-        let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process runs");
+        let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process must be running");
         let after_name = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<u64> = after_name.split_whitespace().map(|field| field.parse().unwrap_or(0)).collect();
         (rss_kib, fields.get(11).unwrap_or(&0) + fields.get(12).unwrap_or(&0))
     }
 
-    /// Starts the planned stop of a process.
+    /// Sends SIGTERM to a process, which starts its planned stop.
     pub async fn terminate(&mut self, name: &str) {
         self.signal(name, "TERM").await;
     }
 
-    /// Freezes a process.
+    /// Freezes a process by SIGSTOP.
     pub async fn freeze(&mut self, name: &str) {
         self.signal(name, "STOP").await;
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process by SIGCONT.
     pub async fn thaw(&mut self, name: &str) {
         self.signal(name, "CONT").await;
     }
@@ -258,51 +264,51 @@
     async fn signal(&mut self, name: &str, signal: &str) {
         let pid = self.process(name).pid;
         let status = Command::new("sh").arg("-c").arg(format!("kill -{signal} {pid}")).status().await;
-        assert!(status.is_ok_and(|status| status.success()), "{name} can be sent {signal}");
+        assert!(status.is_ok_and(|status| status.success()), "{name} must accept the signal {signal}");
     }
 
-    /// Waits until a process has ended by itself, and says whether it ended well.
-    pub async fn wait_ended(&mut self, name: &str) -> bool {
+    /// Waits until a process has ended by itself, and returns whether its exit code was 0.
+    pub async fn wait_for_exit(&mut self, name: &str) -> bool {
         let process = self.process(name);
         process.child.wait().await.is_ok_and(|status| status.success())
     }
 
-    /// Sets the fault of a stand-in.
-    pub async fn fault(&self, url: &str, fault: Value) {
+    /// Sets the faults that a stand-in injects.
+    pub async fn set_fault(&self, url: &str, fault: Value) {
         let sent = self.http.post(format!("{url}/fault")).json(&fault).send().await;
-        assert!(sent.is_ok_and(|answer| answer.status().is_success()), "the fault of {url} can be set");
+        assert!(sent.is_ok_and(|answer| answer.status().is_success()), "the fault of {url} must be set");
     }
 
-    /// Reads JSON.
+    /// Sends a GET request to `url` and returns the answer as JSON.
     pub async fn get_json(&self, url: &str) -> Value {
-        let answer = self.http.get(url).send().await.expect("the stand-in answers");
-        answer.json().await.expect("the answer is JSON")
+        let answer = self.http.get(url).send().await.expect("the stand-in must answer");
+        answer.json().await.expect("the answer must be JSON")
     }
 
-    /// Plans and confirms an intent, and returns the version.
+    /// Plans and confirms an intent, and returns the new version of the configuration.
     ///
     /// # Panics
     ///
-    /// When it is refused.
-    pub async fn apply(&self, operators: &str, intent: &str) -> u64 {
-        let client = OperatorClient::new(operators, OPERATOR_TOKEN);
+    /// Panics if the intent or its confirmation is refused.
+    pub async fn apply_intent(&self, operators_url: &str, intent: &str) -> u64 {
+        let client = OperatorClient::new(operators_url, OPERATOR_TOKEN);
         let plan = client.plan(intent.to_owned()).await.unwrap_or_else(|error| panic!("plan: {error}"));
         let id = plan.record.plan_id.to_string();
         client.confirm(&id).await.unwrap_or_else(|error| panic!("confirm: {error}"))
     }
 
     /// Waits until an entry sees these endpoints alive with a configuration of at least `version`.
-    pub async fn wait_alive(&self, operators: &str, endpoints: &[&str], version: u64) {
-        let client = OperatorClient::new(operators, OPERATOR_TOKEN);
+    pub async fn wait_until_alive(&self, operators_url: &str, endpoints: &[&str], version: u64) {
+        let client = OperatorClient::new(operators_url, OPERATOR_TOKEN);
         wait_until("the endpoints are alive", async || {
             let Ok(status) = client.status().await else { return false };
-            let is_up = |name: &&str| {
+            let is_alive = |name: &&str| {
                 status
                     .endpoints
                     .iter()
                     .any(|row| row.endpoint == **name && row.health == "alive" && row.config_version >= version)
             };
-            status.config_version >= version && endpoints.iter().all(is_up)
+            status.config_version >= version && endpoints.iter().all(is_alive)
         })
         .await;
     }
@@ -317,7 +323,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         for process in self.processes.values_mut() {
-            // A frozen process is ended by this too.
+            // SIGKILL ends a frozen process too.
             let _ = process.child.start_kill();
         }
         if !std::thread::panicking() {
@@ -326,77 +332,77 @@
     }
 }
 
-/// The folder of the built programs, seen from a test or an example.
-fn programs() -> PathBuf {
-    let own = std::env::current_exe().expect("the own program has a path");
-    let folder = own.parent().expect("a program lies in a folder");
+/// Returns the folder of the built programs, found from the path of the running test or example.
+fn programs_dir() -> PathBuf {
+    let own_path = std::env::current_exe().expect("the running program must have a path");
+    let folder = own_path.parent().expect("the path of a program has a parent");
     folder.parent().unwrap_or(folder).to_path_buf()
 }
 
-/// Looks at a condition until it holds.
+/// Checks a condition until it holds.
 ///
 /// # Panics
 ///
-/// When it does not hold after all looks.
-pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Panics if the condition does not hold after [`MAX_POLLS`] checks.
+pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..MAX_POLLS {
-        if holds().await {
+        if condition().await {
             return;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    panic!("waited in vain until {what}");
+    panic!("timed out waiting until {what}");
 }
 
 async fn wait_for_port(addr: &str) {
     wait_until(&format!("{addr} listens"), async || tokio::net::TcpStream::connect(addr).await.is_ok()).await;
 }
 
-/// An intent in YAML: services, workspaces that may use all of them in
-/// `places`, and endpoints.
+/// Returns an intent in YAML with these services and endpoints, and with workspaces that may use all services in all
+/// `data_centres`.
 #[must_use]
 pub fn intent(
-    places: &[&str],
-    models: &[&str],
-    plains: &[&str],
+    data_centres: &[&str],
+    model_services: &[&str],
+    plain_services: &[&str],
     workspaces: &[&str],
-    endpoints: &[EndpointAt],
+    endpoints: &[EndpointSettings],
 ) -> String {
-    let list = |names: &[&str]| names.join(", ");
-    let services = [models, plains].concat();
-    let mut out = String::from("services:\n");
-    for name in models {
-        let _ = writeln!(out, "  - {{service: {name}, kind: model}}");
-    }
-    for name in plains {
-        let _ = writeln!(out, "  - {{service: {name}, kind: plain}}");
-    }
-    out.push_str("places:\n");
-    for place in places {
-        let _ = writeln!(out, "  - data_centre: {place}\n    may_hold:");
+    let comma_separated = |names: &[&str]| names.join(", ");
+    let services = [model_services, plain_services].concat();
+    let mut yaml = String::from("services:\n");
+    for name in model_services {
+        let _ = writeln!(yaml, "  - {{service: {name}, kind: model}}");
+    }
+    for name in plain_services {
+        let _ = writeln!(yaml, "  - {{service: {name}, kind: plain}}");
+    }
+    yaml.push_str("places:\n");
+    for data_centre in data_centres {
+        let _ = writeln!(yaml, "  - data_centre: {data_centre}\n    may_hold:");
         for service in &services {
-            let _ = writeln!(out, "      - {{service: {service}, model_versions: [v1], roles: [mixed]}}");
+            let _ = writeln!(yaml, "      - {{service: {service}, model_versions: [v1], roles: [mixed]}}");
         }
     }
-    out.push_str("workspaces:\n");
+    yaml.push_str("workspaces:\n");
     for name in workspaces {
-        let hash = sha256_hex(&workspace_token(name));
+        let token_hash = sha256_hex(&workspace_token(name));
         let _ = writeln!(
-            out,
-            "  - {{workspace: {name}, token_sha256: {hash}, services: [{}], run_in: [{}], keep_in: [{}]}}",
-            list(&services),
-            list(places),
-            list(places)
+            yaml,
+            "  - {{workspace: {name}, token_sha256: {token_hash}, services: [{}], run_in: [{}], keep_in: [{}]}}",
+            comma_separated(&services),
+            comma_separated(data_centres),
+            comma_separated(data_centres)
         );
     }
-    out.push_str("endpoints:\n");
-    for at in endpoints {
-        let version = if models.contains(&at.service.as_str()) { "v1" } else { "''" };
+    yaml.push_str("endpoints:\n");
+    for endpoint in endpoints {
+        let version = if model_services.contains(&endpoint.service.as_str()) { "v1" } else { "''" };
         let _ = writeln!(
-            out,
+            yaml,
             "  - {{endpoint: {}, service: {}, data_centre: {}, agent_addr: '{}', model_version: {version}, slots: {}}}",
-            at.endpoint, at.service, at.data_centre, at.agent_addr, at.slots
+            endpoint.endpoint, endpoint.service, endpoint.data_centre, endpoint.agent_addr, endpoint.slots
         );
     }
-    out
+    yaml
 }
--- a/crates/ochreyard-stand-ins/src/lib.rs
+++ b/crates/ochreyard-stand-ins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what ochreyard talks to: the platform, a rank group, a plain
-//! service. They run as examples of this package, and are not shipped.
+//! Test doubles of the services that ochreyard calls: the platform, a rank group and a plain service. They run as
+//! examples of this package and are not shipped.
 //!
-//! Each takes its address as first argument and its faults by
-//! `POST /fault` with JSON, so that a test can set them while it runs.
+//! Each takes its listen address as the first argument. `POST /fault` with a JSON body sets the faults that it injects, so
+//! that a test can change them while the stand-in runs.
 
 pub mod args;
 pub mod cluster;
--- a/crates/ochreyard-stand-ins/src/log_store.rs
+++ b/crates/ochreyard-stand-ins/src/log_store.rs
@@ -1,8 +1,8 @@
-//! An append-only log in memory, with retention by count.
+//! An append-only in-memory log with retention by number of records.
 
 use std::collections::VecDeque;
 
-/// One stream.
+/// One stream of the log.
 #[derive(Debug, Clone, Default)]
 pub struct LogStore {
     first_offset: u64,
@@ -16,19 +16,19 @@
         self.next_offset() - 1
     }
 
-    /// The oldest offset that can be read.
+    /// Returns the offset of the oldest record that can be read.
     #[must_use]
     pub const fn first_offset(&self) -> u64 {
         self.first_offset
     }
 
-    /// The offset that the next append gets.
+    /// Returns the offset that the next appended record gets.
     #[must_use]
     pub fn next_offset(&self) -> u64 {
         self.first_offset + self.records.len() as u64
     }
 
-    /// Lets all but the last `keep` records expire.
+    /// Expires all but the last `keep` records.
     pub fn expire_to(&mut self, keep: usize) {
         while self.records.len() > keep {
             self.records.pop_front();
@@ -36,10 +36,15 @@
         }
     }
 
-    /// Records from `from` on, `limit` at the most.
+    /// Returns at most `limit` records from offset `from` on, each with its offset.
     pub fn read(&self, from: u64, limit: usize) -> impl Iterator<Item = (u64, &str)> {
         let skip = usize::try_from(from.saturating_sub(self.first_offset)).unwrap_or(usize::MAX);
         let start = self.first_offset + skip as u64;
-        self.records.iter().skip(skip).take(limit).enumerate().map(move |(at, text)| (start + at as u64, text.as_str()))
+        self.records
+            .iter()
+            .skip(skip)
+            .take(limit)
+            .enumerate()
+            .map(move |(index, text)| (start + index as u64, text.as_str()))
     }
 }
--- a/crates/ochreyard-stand-ins/src/plain.rs
+++ b/crates/ochreyard-stand-ins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it ran.
+//! A plain service that counts how often it ran each request body.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,13 +11,13 @@
 use axum::{Json, Router};
 use serde::{Deserialize, Serialize};
 
-/// Faults of the plain service.
+/// The faults that the plain service injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainFault {
-    /// Every call takes this much longer, in milliseconds.
+    /// Added latency of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Calls run, but answer with an error.
+    /// Whether calls run but are answered with an error.
     pub fail_after_run: bool,
 }
 
@@ -25,23 +25,23 @@
 struct Inner {
     runs: BTreeMap<String, u64>,
     fault: PlainFault,
-    /// Chunks of large answers that have been taken from this service.
+    /// Number of chunks of large answers that clients have read.
     chunks: u64,
 }
 
-/// Bytes of a chunk of a large answer.
+/// Size of a chunk of a large answer, in bytes.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// The state of the stand-in.
+/// A plain service; clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct PlainService(Arc<Mutex<Inner>>);
 
 impl PlainService {
-    /// The routes of the service. Every other path counts a run of the request's body.
+    /// Returns the router of the service. A request to any path without a route counts as a run of the request's body.
     pub fn router(self) -> Router {
         Router::new()
             .route("/runs", get(runs))
-            .route("/big/{chunks}", get(big))
+            .route("/big/{chunks}", get(large_answer))
             .route("/chunks", get(chunks))
             .route("/fault", post(set_fault))
             .route("/control/load", get(|| async { Json(serde_json::json!({})) }))
@@ -49,8 +49,8 @@
             .with_state(self)
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
-        work(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, access: impl FnOnce(&mut Inner) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
@@ -62,8 +62,8 @@
     Json(service.with(|inner| inner.chunks))
 }
 
-/// A large answer, made chunk by chunk as it is taken.
-async fn big(State(service): State<PlainService>, Path(chunks): Path<u64>) -> Body {
+/// Returns a large answer whose chunks are produced as the client reads them.
+async fn large_answer(State(service): State<PlainService>, Path(chunks): Path<u64>) -> Body {
     Body::from_stream(async_stream::stream! {
         for _ in 0..chunks {
             service.with(|inner| inner.chunks += 1);
@@ -78,8 +78,9 @@
 
 async fn run(State(service): State<PlainService>, uri: Uri, headers: HeaderMap, body: Bytes) -> (StatusCode, String) {
     let text = String::from_utf8_lossy(&body).into_owned();
-    let workspace = headers.get("ochreyard-workspace").and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
-    // Counted when the call arrives: this is the moment that a run cannot be taken back.
+    let workspace =
+        headers.get("ochreyard-workspace").and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
+    // The run is counted when the call arrives, since from that moment it cannot be undone.
     let fault = service.with(|inner| {
         *inner.runs.entry(text.clone()).or_default() += 1;
         inner.fault.clone()
--- a/crates/ochreyard-stand-ins/src/platform.rs
+++ b/crates/ochreyard-stand-ins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: log, box list, weight store.
+//! A stand-in for the platform: its log, its list of boxes and its weight store.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,17 +13,17 @@
 
 use crate::log_store::LogStore;
 
-/// Faults of the platform.
+/// The faults that the platform injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFault {
-    /// Every call fails.
+    /// Whether every call fails.
     pub outage: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Added latency of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Appends take effect, but their answer is lost.
+    /// Whether appends take effect but their answers are lost: the caller gets status 504.
     pub lose_append_answers: bool,
-    /// All but this many records of each stream expire now.
+    /// Number of last records to keep in each stream; all others expire when the fault is set.
     pub expire_to: Option<usize>,
 }
 
@@ -34,7 +34,7 @@
     fault: PlatformFault,
 }
 
-/// The state of the stand-in.
+/// A platform; clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct Platform(Arc<Mutex<Inner>>);
 
@@ -50,10 +50,10 @@
     500
 }
 
-type Answer = Result<Json<Value>, StatusCode>;
+type JsonResult = Result<Json<Value>, StatusCode>;
 
 impl Platform {
-    /// The routes of the platform.
+    /// Returns the router of the platform.
     pub fn router(self) -> Router {
         Router::new()
             .route("/log/{stream}", get(read).post(append))
@@ -63,20 +63,24 @@
             .with_state(self)
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
-        work(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, access: impl FnOnce(&mut Inner) -> T) -> T {
+        access(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Waits and fails as the present fault says.
-    async fn suffer(&self) -> Result<PlatformFault, StatusCode> {
+    /// Delays the call, or fails it, as the current fault demands; returns the fault.
+    async fn apply_fault(&self) -> Result<PlatformFault, StatusCode> {
         let fault = self.with(|inner| inner.fault.clone());
         tokio::time::sleep(Duration::from_millis(fault.slow_ms)).await;
         if fault.outage { Err(StatusCode::SERVICE_UNAVAILABLE) } else { Ok(fault) }
     }
 }
 
-async fn read(State(platform): State<Platform>, Path(stream): Path<String>, Query(query): Query<ReadQuery>) -> Answer {
-    platform.suffer().await?;
+async fn read(
+    State(platform): State<Platform>,
+    Path(stream): Path<String>,
+    Query(query): Query<ReadQuery>,
+) -> JsonResult {
+    platform.apply_fault().await?;
     Ok(Json(platform.with(|inner| {
         let store = inner.streams.entry(stream).or_default();
         let records: Vec<Value> = store
@@ -87,14 +91,14 @@
     })))
 }
 
-async fn append(State(platform): State<Platform>, Path(stream): Path<String>, text: String) -> Answer {
-    let fault = platform.suffer().await?;
+async fn append(State(platform): State<Platform>, Path(stream): Path<String>, text: String) -> JsonResult {
+    let fault = platform.apply_fault().await?;
     let offset = platform.with(|inner| inner.streams.entry(stream).or_default().append(text));
     if fault.lose_append_answers { Err(StatusCode::GATEWAY_TIMEOUT) } else { Ok(Json(json!({ "offset": offset }))) }
 }
 
-async fn boxes(State(platform): State<Platform>) -> Answer {
-    platform.suffer().await?;
+async fn boxes(State(platform): State<Platform>) -> JsonResult {
+    platform.apply_fault().await?;
     Ok(Json(platform.with(|inner| if inner.boxes.is_null() { json!([]) } else { inner.boxes.clone() })))
 }
 
@@ -102,8 +106,8 @@
     platform.with(|inner| inner.boxes = boxes);
 }
 
-async fn reserve(State(platform): State<Platform>) -> Answer {
-    platform.suffer().await?;
+async fn reserve(State(platform): State<Platform>) -> JsonResult {
+    platform.apply_fault().await?;
     Ok(Json(json!({})))
 }
 
--- a/crates/ochreyard-stand-ins/src/rank_group.rs
+++ b/crates/ochreyard-stand-ins/src/rank_group.rs
@@ -1,8 +1,7 @@
-//! A rank group in lock-step that streams tokens.
+//! A stand-in for a rank group that runs in lock-step and streams tokens.
 //!
-//! All ranks take each step together: the slowest decides its time. The answer
-//! to a prompt is a function of the prompt, so that a test can tell whose answer
-//! it got: token `i` is `t<hash of prompt>-<i> `.
+//! All ranks take each step together, so the slowest rank decides how long a step takes. The answer is a function of the
+//! request body, so that a test can tell to which request an answer belongs: token `i` is `t<hash of body>-<i> `.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,52 +19,53 @@
 use serde_json::{Value, json};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 
-/// Faults of the group.
+/// The faults that the group injects.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct GroupFault {
-    /// This rank takes `stall_ms` longer in each step.
+    /// The rank that takes `stall_ms` longer in each step.
     pub stalled_rank: Option<usize>,
-    /// See `stalled_rank`, in milliseconds.
+    /// Added duration of each step of `stalled_rank`, in milliseconds.
     pub stall_ms: u64,
-    /// Streams break off after this many tokens.
+    /// Number of tokens after which streams are aborted.
     pub break_after: Option<u64>,
-    /// This rank hears no orders.
+    /// The rank that drops all orders.
     pub deaf_rank: Option<u32>,
-    /// `deaf_rank` hears all orders but those that schedule a map.
+    /// Whether `deaf_rank` drops only the orders that schedule a map.
     pub deaf_to_activate_only: bool,
-    /// This expert gets ten times the tokens of the others.
+    /// The expert that gets ten times the tokens of each other expert.
     pub hot_expert: Option<usize>,
 }
 
-/// Experts of the group's one layer, and the slots of each rank.
+/// Number of experts in the group's only layer.
 const EXPERTS: usize = 16;
+/// Number of expert slots of each rank.
 const SLOTS_PER_RANK: usize = 5;
-/// The number of the map that the group starts with.
-const FIRST_MAP: u64 = 1;
+/// The number of the expert map with which the group starts.
+const INITIAL_MAP: u64 = 1;
 
-/// What a group can do.
+/// The size and speed of a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GroupSize {
-    /// Ranks.
+pub struct GroupConfig {
+    /// Number of ranks.
     pub ranks: usize,
-    /// Time of a step, in milliseconds.
+    /// Duration of a step, in milliseconds.
     pub step_ms: u64,
-    /// Requests in a batch; others wait.
+    /// Largest number of requests in a batch; further requests wait.
     pub max_batch: usize,
-    /// Steps until the first token of a prompt whose start is not cached.
+    /// Number of steps before the first token of a request whose prefix is not cached.
     pub prefill_steps: u64,
-    /// Starts of prompts that are cached.
+    /// Number of request prefixes that are cached.
     pub cached_prompts: usize,
 }
 
-impl Default for GroupSize {
+impl Default for GroupConfig {
     fn default() -> Self {
         Self { ranks: 4, step_ms: 5, max_batch: 1024, prefill_steps: 0, cached_prompts: 0 }
     }
 }
 
-/// Bytes at the start of a request that decide about the cache.
+/// Length of the request prefix by which the cache is keyed, in bytes.
 const PREFIX_BYTES: usize = 256;
 
 #[derive(Debug)]
@@ -79,15 +79,15 @@
     cancelled: u64,
     step_us: u64,
     fault: GroupFault,
-    /// Steps in which ranks used different maps: must stay 0.
+    /// Number of steps in which ranks used different maps; must stay 0.
     mixed_steps: u64,
-    /// Steps that waited at a gate.
+    /// Number of steps that waited at a gate.
     held_steps: u64,
 }
 
 impl Inner {
-    /// The group enters a step in lock-step, unless a rank is held.
-    fn enter(&mut self, step: u64) -> bool {
+    /// Lets all ranks enter a step, unless a rank is held at a gate. Returns whether they entered it.
+    fn try_enter(&mut self, step: u64) -> bool {
         if !self.ranks.iter().all(|rank| rank.may_enter(step)) {
             self.held_steps += 1;
             return false;
@@ -103,13 +103,13 @@
     }
 }
 
-/// The state of the stand-in.
+/// A rank group; clones share their state.
 #[derive(Debug, Clone)]
 pub struct RankGroup {
     inner: Arc<Mutex<Inner>>,
     step: watch::Sender<u64>,
     batch: Arc<Semaphore>,
-    size: GroupSize,
+    config: GroupConfig,
 }
 
 #[derive(Deserialize)]
@@ -124,57 +124,58 @@
     16
 }
 
-/// Token `i` of the answer to a request body.
+/// Returns token `i` of the answer to a request body.
 #[must_use]
 pub fn token(body: &str, i: u64) -> String {
     format!("t{:x}-{i} ", hash::fnv1a(body.as_bytes()))
 }
 
-/// The whole answer to a request body.
+/// Returns the complete answer to a request body.
 #[must_use]
-pub fn whole_text(body: &str, tokens: u64) -> String {
+pub fn complete_text(body: &str, tokens: u64) -> String {
     (0..tokens).map(|i| token(body, i)).collect()
 }
 
 impl RankGroup {
-    /// A group of this size.
+    /// Creates a group of this size and speed, before its first step.
     #[must_use]
-    pub fn new(size: GroupSize) -> Self {
+    pub fn new(config: GroupConfig) -> Self {
         let inner = Inner {
             cache: VecDeque::new(),
             cache_hits: 0,
-            ranks: vec![Rank::new(FIRST_MAP); size.ranks],
-            maps: [(FIRST_MAP, Placement::even(EXPERTS, size.ranks, SLOTS_PER_RANK))].into(),
+            ranks: vec![Rank::new(INITIAL_MAP); config.ranks],
+            maps: [(INITIAL_MAP, Placement::even(EXPERTS, config.ranks, SLOTS_PER_RANK))].into(),
             running: 0,
             started: 0,
             cancelled: 0,
-            step_us: size.step_ms * 1000,
+            step_us: config.step_ms * 1000,
             fault: GroupFault::default(),
             mixed_steps: 0,
             held_steps: 0,
         };
-        let batch = Arc::new(Semaphore::new(size.max_batch));
-        Self { inner: Arc::new(Mutex::new(inner)), step: watch::Sender::new(0), batch, size }
+        let batch = Arc::new(Semaphore::new(config.max_batch));
+        Self { inner: Arc::new(Mutex::new(inner)), step: watch::Sender::new(0), batch, config }
     }
 
-    /// Steps until the first token: none if the start of the request is cached.
+    /// Returns the number of steps before the first token, which is 0 if the prefix of the request is cached. Adds the
+    /// prefix to the cache.
     fn prefill_steps(&self, body: &str) -> u64 {
         let prefix = hash::fnv1a(&body.as_bytes()[..body.len().min(PREFIX_BYTES)]);
         self.with(|inner| {
-            let hit = inner.cache.iter().position(|known| *known == prefix);
-            if let Some(at) = hit {
-                inner.cache.remove(at);
+            let cached_at = inner.cache.iter().position(|cached| *cached == prefix);
+            if let Some(index) = cached_at {
+                inner.cache.remove(index);
                 inner.cache_hits += 1;
             }
             inner.cache.push_back(prefix);
-            while inner.cache.len() > self.size.cached_prompts {
+            while inner.cache.len() > self.config.cached_prompts {
                 inner.cache.pop_front();
             }
-            if hit.is_some() { 0 } else { self.size.prefill_steps }
+            if cached_at.is_some() { 0 } else { self.config.prefill_steps }
         })
     }
 
-    /// The routes of the group.
+    /// Returns the router of the group.
     pub fn router(self) -> Router {
         Router::new()
             .route("/v1/chat/completions", post(complete))
@@ -188,21 +189,21 @@
             .with_state(self)
     }
 
-    fn with<T>(&self, work: impl FnOnce(&mut Inner) -> T) -> T {
-        work(&mut self.inner.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, access: impl FnOnce(&mut Inner) -> T) -> T {
+        access(&mut self.inner.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes steps until the process ends.
+    /// Runs steps until the process ends.
     pub async fn run_steps(self) {
         loop {
             let next = *self.step.borrow() + 1;
             let stall_ms = self.with(|inner| inner.fault.stalled_rank.map_or(0, |_| inner.fault.stall_ms));
-            tokio::time::sleep(Duration::from_millis(self.size.step_ms + stall_ms)).await;
-            let enters = self.with(|inner| {
-                inner.step_us = (self.size.step_ms + stall_ms) * 1000;
-                inner.enter(next)
+            tokio::time::sleep(Duration::from_millis(self.config.step_ms + stall_ms)).await;
+            let entered = self.with(|inner| {
+                inner.step_us = (self.config.step_ms + stall_ms) * 1000;
+                inner.try_enter(next)
             });
-            if enters {
+            if entered {
                 self.step.send_replace(next);
             }
         }
@@ -214,7 +215,7 @@
         return (StatusCode::BAD_REQUEST, "not the expected JSON").into_response();
     };
     let guard = RunGuard::new(&group);
-    let Ok(place) = Arc::clone(&group.batch).acquire_owned().await else {
+    let Ok(permit) = Arc::clone(&group.batch).acquire_owned().await else {
         return StatusCode::INTERNAL_SERVER_ERROR.into_response();
     };
     let mut steps = group.step.subscribe();
@@ -223,7 +224,7 @@
             return StatusCode::INTERNAL_SERVER_ERROR.into_response();
         }
     }
-    let guard = (guard, place);
+    let guard = (guard, permit);
     if prompt.stream {
         return stream(group, guard, body, prompt.max_tokens);
     }
@@ -233,7 +234,7 @@
         }
     }
     guard.0.finish();
-    let text = whole_text(&body, prompt.max_tokens);
+    let text = complete_text(&body, prompt.max_tokens);
     Json(json!({ "choices": [{ "message": { "content": text } }] })).into_response()
 }
 
@@ -244,7 +245,7 @@
             if steps.changed().await.is_err() {
                 return;
             }
-            if group.with(|inner| inner.fault.break_after.is_some_and(|after| i >= after)) {
+            if group.with(|inner| inner.fault.break_after.is_some_and(|tokens| i >= tokens)) {
                 yield Err(std::io::Error::other("the group broke off"));
                 return;
             }
@@ -279,11 +280,11 @@
 
 async fn order(State(group): State<RankGroup>, Json(order): Json<OrderEnvelope>) -> Response {
     group.with(|inner| {
-        let hears = inner.fault.deaf_to_activate_only && !matches!(order.order, RankOrder::Activate { .. });
-        let is_deaf = inner.fault.deaf_rank == Some(order.rank) && !hears;
-        let staged_unknown = matches!(order.order, RankOrder::Stage { map } if !inner.maps.contains_key(&map));
+        let receives_order = inner.fault.deaf_to_activate_only && !matches!(order.order, RankOrder::Activate { .. });
+        let drops_order = inner.fault.deaf_rank == Some(order.rank) && !receives_order;
+        let stages_unknown_map = matches!(order.order, RankOrder::Stage { map } if !inner.maps.contains_key(&map));
         match inner.ranks.get_mut(order.rank as usize) {
-            Some(rank) if !is_deaf && !staged_unknown => Json(rank.on_order(&order)).into_response(),
+            Some(rank) if !drops_order && !stages_unknown_map => Json(rank.on_order(&order)).into_response(),
             _ => StatusCode::SERVICE_UNAVAILABLE.into_response(),
         }
     })
@@ -307,7 +308,7 @@
     }))
 }
 
-/// Counts a run; one that is dropped before its end was cancelled.
+/// Counts a run; a guard that is dropped before `finish` counts it as cancelled.
 struct RunGuard {
     group: RankGroup,
     finished: bool,
--- a/crates/ochreyard-stand-ins/src/relay.rs
+++ b/crates/ochreyard-stand-ins/src/relay.rs
@@ -1,11 +1,11 @@
-//! A TCP relay that can be cut, each direction by itself, slowed, and reset.
+//! A TCP relay that injects network faults: a partition in either direction, delay, and connection resets.
 //!
-//! While a direction is cut its bytes are held back, as a network that loses all
-//! packets would have them: connections stay up and nothing arrives.
+//! While a direction is blocked, its bytes are held back, as on a network that loses all packets: connections stay
+//! open and no bytes arrive.
 
 mod connection;
-mod manner;
 mod partition;
+mod state;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,52 +13,52 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use self::connection::relay_one;
-use self::manner::Manner;
+use self::connection::relay_connection;
 pub use self::partition::Partition;
+use self::state::RelayState;
 
-/// A relay before one target.
+/// A relay in front of one target address.
 #[derive(Debug, Clone)]
 pub struct Relay {
-    manner: Arc<watch::Sender<Manner>>,
+    state: Arc<watch::Sender<RelayState>>,
 }
 
 impl Relay {
-    /// Listens on `addr` and relays to `target`.
+    /// Listens on `addr` and relays all connections to `target`.
     ///
     /// # Panics
     ///
-    /// When the address cannot be bound.
+    /// Panics if the address cannot be bound.
     pub async fn start(addr: &str, target: String) -> Self {
-        let listener = TcpListener::bind(addr).await.expect("the relay's address is free");
+        let listener = TcpListener::bind(addr).await.expect("the relay's address must be free");
         Self::with_listener(listener, target)
     }
 
-    /// Relays what comes to `listener` to `target`.
+    /// Relays all connections that `listener` accepts to `target`.
     #[must_use]
     pub fn with_listener(listener: TcpListener, target: String) -> Self {
-        let manner = Arc::new(watch::Sender::new(Manner::default()));
-        let relay = Self { manner: Arc::clone(&manner) };
+        let state = Arc::new(watch::Sender::new(RelayState::default()));
+        let relay = Self { state: Arc::clone(&state) };
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(relay_one(near, target.clone(), Arc::clone(&manner)));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(relay_connection(client, target.clone(), Arc::clone(&state)));
             }
         });
         relay
     }
 
-    /// Cuts or mends.
+    /// Sets which directions are blocked; `Partition::default()` ends the partition.
     pub fn set_partition(&self, partition: Partition) {
-        self.manner.send_modify(|manner| manner.partition = partition);
+        self.state.send_modify(|state| state.partition = partition);
     }
 
-    /// Holds each piece back for so long.
+    /// Sets how long each chunk is delayed.
     pub fn set_delay(&self, delay: Duration) {
-        self.manner.send_modify(|manner| manner.delay = delay);
+        self.state.send_modify(|state| state.delay = delay);
     }
 
     /// Resets all connections.
     pub fn reset_connections(&self) {
-        self.manner.send_modify(|manner| manner.resets += 1);
+        self.state.send_modify(|state| state.resets += 1);
     }
 }
--- a/crates/ochreyard-stand-ins/src/relay/connection.rs
+++ b/crates/ochreyard-stand-ins/src/relay/connection.rs
@@ -9,68 +9,68 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use super::manner::Manner;
 use super::partition::Partition;
+use super::state::RelayState;
 
-/// Bytes that are taken at once.
+/// Largest number of bytes that are relayed in one chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Relays one connection until either side closes it, or all are reset.
-pub async fn relay_one(near: TcpStream, target: String, manner: Arc<watch::Sender<Manner>>) {
-    // Nobody gets through a cut: not even to make a connection.
-    let mut watching = manner.subscribe();
-    if watching.wait_for(|manner| !manner.partition.to_target).await.is_err() {
+/// Relays one connection until either side closes it, or all connections are reset.
+pub async fn relay_connection(client: TcpStream, target: String, state: Arc<watch::Sender<RelayState>>) {
+    // No connection to the target is opened while the direction to it is blocked.
+    let mut state_watch = state.subscribe();
+    if state_watch.wait_for(|state| !state.partition.to_target).await.is_err() {
         return;
     }
-    let resets = watching.borrow().resets;
+    let resets = state_watch.borrow().resets;
     let Ok(addr) = target.parse::<SocketAddr>() else { return };
-    let Ok(far) = TcpStream::connect(addr).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (mut near, mut far) = (near, far);
+    let Ok(target_stream) = TcpStream::connect(addr).await else { return };
+    let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
+    let (mut client, mut target_stream) = (client, target_stream);
     let is_reset = tokio::select! {
-        () = pass_both(&mut near, &mut far, &manner) => false,
-        _ = watching.wait_for(|manner| manner.resets != resets) => true,
+        () = copy_both_ways(&mut client, &mut target_stream, &state) => false,
+        _ = state_watch.wait_for(|state| state.resets != resets) => true,
     };
     if is_reset {
-        close_with_reset(&near);
-        close_with_reset(&far);
+        close_with_reset(&client);
+        close_with_reset(&target_stream);
     }
 }
 
-/// Passes bytes on in both directions, until either ends.
-async fn pass_both(near: &mut TcpStream, far: &mut TcpStream, manner: &watch::Sender<Manner>) {
-    let (near_read, near_write) = near.split();
-    let (far_read, far_write) = far.split();
-    let there = pass(near_read, far_write, manner.subscribe(), |partition| partition.to_target);
-    let back = pass(far_read, near_write, manner.subscribe(), |partition| partition.from_target);
+/// Copies bytes in both directions until either direction ends.
+async fn copy_both_ways(client: &mut TcpStream, target_stream: &mut TcpStream, state: &watch::Sender<RelayState>) {
+    let (client_read, client_write) = client.split();
+    let (target_read, target_write) = target_stream.split();
+    let to_target = copy_one_way(client_read, target_write, state.subscribe(), |partition| partition.to_target);
+    let from_target = copy_one_way(target_read, client_write, state.subscribe(), |partition| partition.from_target);
     tokio::select! {
-        () = there => {}
-        () = back => {}
+        () = to_target => {}
+        () = from_target => {}
     }
 }
 
-/// Closed with no time to linger, a connection is reset.
+/// Makes the close of this connection send a reset, by a linger time of zero.
 fn close_with_reset(stream: &TcpStream) {
     drop(SockRef::from(stream).set_linger(Some(Duration::ZERO)));
 }
 
-async fn pass(
-    mut from: impl AsyncReadExt + Unpin,
-    mut to: impl AsyncWriteExt + Unpin,
-    mut manner: watch::Receiver<Manner>,
-    is_cut: fn(&Partition) -> bool,
+async fn copy_one_way(
+    mut reader: impl AsyncReadExt + Unpin,
+    mut writer: impl AsyncWriteExt + Unpin,
+    mut state: watch::Receiver<RelayState>,
+    is_blocked: fn(&Partition) -> bool,
 ) {
-    let mut chunk = vec![0; CHUNK_BYTES];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let Ok(length) = from.read(&mut chunk).await else { return };
-        let delay = manner.borrow().delay;
+        let Ok(length) = reader.read(&mut buffer).await else { return };
+        let delay = state.borrow().delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if length == 0 || manner.wait_for(|manner| !is_cut(&manner.partition)).await.is_err() {
+        if length == 0 || state.wait_for(|state| !is_blocked(&state.partition)).await.is_err() {
             return;
         }
-        if to.write_all(&chunk[..length]).await.is_err() {
+        if writer.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/ochreyard-stand-ins/src/relay/partition.rs
+++ b/crates/ochreyard-stand-ins/src/relay/partition.rs
@@ -1,10 +1,10 @@
-//! Which directions of a relay are cut.
+//! A network partition that a relay simulates.
 
-/// Which directions are cut.
+/// The directions of a relay that are blocked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Partition {
-    /// From the one who dials to the target.
+    /// Whether bytes and new connections from the client to the target are blocked.
     pub to_target: bool,
-    /// From the target to the one who dials.
+    /// Whether bytes from the target to the client are blocked.
     pub from_target: bool,
 }
