--- a/crates/ochreyard-entry/src/forward.rs
+++ b/crates/ochreyard-entry/src/forward.rs
@@ -13,7 +13,7 @@
 use ochreyard_core::error_kind::{ErrorKind, Refusal, RunStatus};
 use ochreyard_core::frame::{FrameAction, FrameBody, FrameReader};
 use ochreyard_core::ids::{AttemptId, Incarnation};
-use ochreyard_peer::{CallEnd, CallRequest, LinkError, ServiceRequest};
+use ochreyard_peer::{CallOutcome, CallRequest, LinkError, ServiceRequest};
 use ochreyard_process::Clock;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -22,8 +22,8 @@
 use crate::balancer::{Admit, Balancer, HandleFailure, LinkLost, Pick, RecordOutcome};
 use crate::state::{AdmittedRequest, PickRequest, Target};
 
-/// Frames, and chunks of the body, of one answer that are buffered for a slow caller.
-const MAX_BUFFERED_PARTS: usize = 4;
+/// Capacity of the channels that buffer the frames, and the chunks of the body, of an answer for a slow caller.
+const ANSWER_BUFFER_CAPACITY: usize = 4;
 /// How long an agent whose connection was lost may take to answer whether an attempt had started.
 const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
@@ -171,7 +171,7 @@
             return Err(Refusal::new(ErrorKind::AnswerBroken));
         };
         let first_body = attempt.next().await?;
-        let (sender, chunks) = mpsc::channel(MAX_BUFFERED_PARTS);
+        let (sender, chunks) = mpsc::channel(ANSWER_BUFFER_CAPACITY);
         attempt.first_body = first_body;
         attempt.chunks = Some(sender);
         Ok(StartedAnswer { answer: CallerAnswer { status, content_type, chunks }, attempt })
@@ -230,8 +230,8 @@
     balancer: ActorRef<Balancer>,
     reader: FrameReader,
     frames: mpsc::Receiver<ochreyard_core::frame::Frame>,
-    call: JoinHandle<Result<CallEnd, LinkError>>,
-    end: Option<Result<CallEnd, LinkError>>,
+    call: JoinHandle<Result<CallOutcome, LinkError>>,
+    end: Option<Result<CallOutcome, LinkError>>,
     deadline: Instant,
     first_body: Option<FrameBody>,
     chunks: Option<mpsc::Sender<BodyChunk>>,
@@ -240,7 +240,7 @@
 
 impl Attempt {
     fn start(forwarder: &Forwarder, target: &Target, call: CallRequest, deadline: Instant) -> Self {
-        let (sender, frames) = mpsc::channel(MAX_BUFFERED_PARTS);
+        let (sender, frames) = mpsc::channel(ANSWER_BUFFER_CAPACITY);
         let id = call.offer.attempt;
         let has_key = call.offer.key.is_some();
         let link = target.link.clone();
@@ -295,8 +295,8 @@
     /// Returns why the frames ended before the answer was complete.
     async fn end_refusal(&self) -> Refusal {
         match &self.end {
-            Some(Ok(CallEnd::Refused(refusal))) => refusal.clone(),
-            Some(Ok(CallEnd::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
+            Some(Ok(CallOutcome::Refused(refusal))) => refusal.clone(),
+            Some(Ok(CallOutcome::Sent)) | None => Refusal::new(ErrorKind::AnswerBroken),
             Some(Err(error @ LinkError::NotSent { .. })) => {
                 let _ = self.balancer.tell(LinkLost { endpoint: self.target.endpoint.clone() }).await;
                 let kind = if self.has_key { ErrorKind::KeyHomeUnreachable } else { ErrorKind::EndpointDown };
@@ -342,7 +342,9 @@
     }
 }
 
-fn flatten_join(result: Result<Result<CallEnd, LinkError>, tokio::task::JoinError>) -> Result<CallEnd, LinkError> {
+fn flatten_join(
+    result: Result<Result<CallOutcome, LinkError>, tokio::task::JoinError>,
+) -> Result<CallOutcome, LinkError> {
     result.unwrap_or_else(|error| Err(LinkError::Lost { problem: error.to_string() }))
 }
 
--- a/crates/ochreyard-entry/src/upkeep.rs
+++ b/crates/ochreyard-entry/src/upkeep.rs
@@ -7,7 +7,7 @@
 
 use kameo::actor::ActorRef;
 use ochreyard_core::config::{ConfigRecord, FoldEvent};
-use ochreyard_peer::{AgentLink, LinkError, LocalThread, fetch_state};
+use ochreyard_peer::{AgentLink, LinkError, LocalThread, fetch_configuration};
 use ochreyard_platform::{BoxList, BoxState, LogStream, PlatformError};
 use ochreyard_process::Clock;
 
@@ -77,7 +77,7 @@
     /// Adopts the newest configuration among those of the reachable peers.
     async fn adopt_newest_config(&self, balancer: &ActorRef<Balancer>) {
         for addr in &self.addrs {
-            let Ok(Some(config)) = fetch_state(&self.thread, *addr, self.token.clone()).await else { continue };
+            let Ok(Some(config)) = fetch_configuration(&self.thread, *addr, self.token.clone()).await else { continue };
             let version = config.version();
             if balancer.ask(AdoptConfig { config: Arc::new(config) }).await.unwrap_or(false) {
                 log::info!("event=config_from_peer peer={addr} version={version}");
