--- a/crates/ochreyard-fleet-model/src/fleet.rs
+++ b/crates/ochreyard-fleet-model/src/fleet.rs
@@ -156,8 +156,8 @@
     }
 
     fn can_reach(&self, from: usize, to: usize) -> bool {
-        let is_cut = self.fault == Fault::CutOff && self.is_fault_active();
-        !self.removed_boxes.contains(&to) && (!is_cut || from % DATA_CENTRES == to % DATA_CENTRES)
+        let is_partitioned = self.fault == Fault::CutOff && self.is_fault_active();
+        !self.removed_boxes.contains(&to) && (!is_partitioned || from % DATA_CENTRES == to % DATA_CENTRES)
     }
 
     /// Returns the end of the log. After the log was restored from an older copy, the era is higher and the offset is
--- a/crates/ochreyard-stand-ins/examples/measure.rs
+++ b/crates/ochreyard-stand-ins/examples/measure.rs
@@ -109,7 +109,8 @@
     const TOKENS: u64 = 24;
     const PREFILL: u64 = 12;
     const CONVERSATIONS: u64 = 160;
-    let size = GroupConfig { ranks: 4, step_ms: 5, max_batch: BATCH, prefill_steps: PREFILL, cached_prompts: 16 };
+    let group_config =
+        GroupConfig { ranks: 4, step_ms: 5, max_batch: BATCH, prefill_steps: PREFILL, cached_prompts: 16 };
     // Steps of 5 ms take about 6.2 ms with the timer. The capacity is computed without the prefix cache.
     let service_time_s = (TOKENS + PREFILL) as f64 * 0.0062;
     let rate = 0.8 * GROUPS as f64 * BATCH as f64 / service_time_s;
@@ -123,7 +124,7 @@
             let spec = SiteSpec {
                 entries: vec![DC, DC],
                 groups: vec![DC; GROUPS],
-                group_config: size,
+                group_config,
                 slots: BATCH as u32,
                 extra_entry_settings: format!("routing: {policy}"),
                 extra_agent_settings: "queue_limit_per_workspace: 500".into(),
@@ -144,8 +145,8 @@
             let mut times = histogram();
             samples.iter().filter_map(|timing| timing.first_us).for_each(|us| times.saturating_record(us));
             let (mut hits, mut started) = (0, 0);
-            for (at, url) in &site.endpoints {
-                if at.service == MODEL {
+            for (endpoint, url) in &site.endpoints {
+                if endpoint.service == MODEL {
                     let state = site.cluster.get_json(&format!("{url}/control/state")).await;
                     hits += state["cache_hits"].as_u64().unwrap_or(0);
                     started += state["started"].as_u64().unwrap_or(0);
@@ -402,8 +403,8 @@
     };
     let engine_starts = async || {
         let mut started = 0;
-        for at in 1..=2 {
-            let state = site.cluster.get_json(&format!("{}/control/state", site.url(&format!("group-{at}")))).await;
+        for number in 1..=2 {
+            let state = site.cluster.get_json(&format!("{}/control/state", site.url(&format!("group-{number}")))).await;
             started += state["started"].as_u64().unwrap_or(0);
         }
         started
--- a/crates/ochreyard-stand-ins/src/cluster.rs
+++ b/crates/ochreyard-stand-ins/src/cluster.rs
@@ -267,7 +267,7 @@
         assert!(status.is_ok_and(|status| status.success()), "{name} must accept the signal {signal}");
     }
 
-    /// Waits until a process has ended by itself, and returns whether its exit code was 0.
+    /// Waits until a process has exited, and returns whether its exit code was 0.
     pub async fn wait_for_exit(&mut self, name: &str) -> bool {
         let process = self.process(name);
         process.child.wait().await.is_ok_and(|status| status.success())
--- a/crates/ochreyard-stand-ins/src/rank_group.rs
+++ b/crates/ochreyard-stand-ins/src/rank_group.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct GroupFault {
-    /// The rank that takes `stall_ms` longer in each step.
+    /// The rank that needs `stall_ms` more time in each step.
     pub stalled_rank: Option<usize>,
     /// Added duration of each step of `stalled_rank`, in milliseconds.
     pub stall_ms: u64,
