--- a/crates/ochreyard-direct/src/entry.rs
+++ b/crates/ochreyard-direct/src/entry.rs
@@ -141,7 +141,7 @@
         let now_ms = self.clock.now_ms();
         self.state.borrow_mut().pool.apply_group_update(update, now_ms);
         log::debug!(
-            "event=group_told group={} teller={:?} serving={}",
+            "event=group_update_applied group={} teller={:?} serving={}",
             update.group,
             update.reporter_role,
             update.is_serving
--- a/crates/ochreyard-direct/src/follow/quarantine.rs
+++ b/crates/ochreyard-direct/src/follow/quarantine.rs
@@ -93,7 +93,7 @@
         times: verdict.times,
     };
     serde_json::to_vec(&record).map(Bytes::from).unwrap_or_else(|error| {
-        log::error!("event=verdict_unwritable error=\"{error}\"");
+        log::error!("event=verdict_encode_failed error=\"{error}\"");
         Bytes::new()
     })
 }
--- a/crates/ochreyard-direct/src/forward.rs
+++ b/crates/ochreyard-direct/src/forward.rs
@@ -61,7 +61,7 @@
         Ok(Ok(body)) => Ok(body),
         Ok(Err(BodyError::TooLong { .. })) => Err(ErrorKind::BodyTooLarge),
         Ok(Err(BodyError::MemoryLimit)) => {
-            log::warn!("event=request_not_taken cause=\"buffered bodies take too much memory\"");
+            log::warn!("event=request_rejected cause=\"buffered bodies take too much memory\"");
             Err(ErrorKind::Overloaded)
         }
         Ok(Err(BodyError::Interrupted(_))) => Err(ErrorKind::BadRequest),
--- a/crates/ochreyard-direct/src/peers/broadcast.rs
+++ b/crates/ochreyard-direct/src/peers/broadcast.rs
@@ -136,7 +136,7 @@
             entry.unreachable_peers.until_ms.borrow_mut().remove(&first);
             return;
         };
-        log::debug!("event=box_not_told addr={first} error=\"{error}\"");
+        log::debug!("event=peer_update_send_failed addr={first} error=\"{error}\"");
         let until_ms = entry.clock.now_ms() + UNREACHABLE_FOR_MS;
         entry.unreachable_peers.until_ms.borrow_mut().insert(first, until_ms);
     }
@@ -150,7 +150,7 @@
     let message: ForwardedUpdate<U> = match serde_json::from_slice(&body.to_bytes()) {
         Ok(message) => message,
         Err(error) => {
-            log::warn!("event=news_unreadable path={} error=\"{error}\"", U::PATH);
+            log::warn!("event=peer_update_unreadable path={} error=\"{error}\"", U::PATH);
             return StatusCode::BAD_REQUEST;
         }
     };
@@ -166,7 +166,7 @@
         let (client, forwarded) = (entry.peer_client(addr), Rc::clone(&forwarded));
         tokio::task::spawn_local(async move {
             if let Err(error) = forwarded.send(&client).await {
-                log::debug!("event=box_not_told addr={addr} error=\"{error}\"");
+                log::debug!("event=peer_update_send_failed addr={addr} error=\"{error}\"");
             }
         });
     }
--- a/crates/ochreyard-direct/src/peers/poll.rs
+++ b/crates/ochreyard-direct/src/peers/poll.rs
@@ -108,7 +108,7 @@
     };
     match answer {
         Ok(answer) => apply_state(&entry, answer, client.addr(), role, asked_ms),
-        Err(error) => log::warn!("event=peer_unreadable addr={} error=\"{error}\"", client.addr()),
+        Err(error) => log::warn!("event=peer_state_unreadable addr={} error=\"{error}\"", client.addr()),
     }
 }
 
--- a/crates/ochreyard-direct/src/peers/state_answer.rs
+++ b/crates/ochreyard-direct/src/peers/state_answer.rs
@@ -35,7 +35,7 @@
         _ => known_state(entry, &query),
     };
     serde_json::to_vec(&state).map(Bytes::from).unwrap_or_else(|error| {
-        log::error!("event=state_unwritable error=\"{error}\"");
+        log::error!("event=state_encode_failed error=\"{error}\"");
         Bytes::new()
     })
 }
--- a/crates/ochreyard-direct/src/serve.rs
+++ b/crates/ochreyard-direct/src/serve.rs
@@ -193,7 +193,7 @@
             _ = interrupt.recv() => return Ok(()),
             // Addresses stay bound while the process runs, and changed settings of the platform are read at the next
             // start.
-            _ = hangup.recv() => log::info!("event=reload_noted"),
+            _ = hangup.recv() => log::info!("event=reload_ignored"),
         }
     }
 }
--- a/crates/ochreyard-direct/src/server.rs
+++ b/crates/ochreyard-direct/src/server.rs
@@ -51,7 +51,7 @@
 
 async fn serve_caller<D: Dialect>(entry: Rc<Entry<D>>, stream: TcpStream, mut phase: watch::Receiver<DrainPhase>) {
     if let Err(error) = connection::set_socket_options(&stream) {
-        log::debug!("event=tune_refused error=\"{error}\"");
+        log::debug!("event=socket_options_failed error=\"{error}\"");
     }
     let limits = entry.state.borrow().table.as_ref().map(|table| table.limits()).unwrap_or_default();
     let handled = Rc::clone(&entry);
@@ -115,7 +115,7 @@
         let (entry, metrics) = (Rc::clone(&entry), metrics.clone());
         tokio::task::spawn_local(async move {
             if let Err(error) = connection::set_socket_options(&stream) {
-                log::debug!("event=tune_refused error=\"{error}\"");
+                log::debug!("event=socket_options_failed error=\"{error}\"");
             }
             let service = service_fn(move |request| {
                 let (entry, metrics) = (Rc::clone(&entry), metrics.clone());
@@ -123,7 +123,7 @@
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                log::debug!("event=side_connection_ended error=\"{error}\"");
+                log::debug!("event=internal_connection_ended error=\"{error}\"");
             }
         });
     }
@@ -170,7 +170,7 @@
     match serde_json::to_vec(answer) {
         Ok(bytes) => Response::new(AnswerBody::complete(bytes)),
         Err(error) => {
-            log::error!("event=answer_unwritable error=\"{error}\"");
+            log::error!("event=response_encode_failed error=\"{error}\"");
             empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
--- a/crates/ochreyard-entry/src/upkeep.rs
+++ b/crates/ochreyard-entry/src/upkeep.rs
@@ -59,7 +59,7 @@
             metrics::counter!("ochreyard_entry_unreadable_records_total").increment(1);
             log::error!("event=record_unreadable offset={offset} problem=\"{problem}\"");
         }
-        FoldEvent::SnapshotSkipped(offset) => log::info!("event=snapshot_passed_over offset={offset}"),
+        FoldEvent::SnapshotSkipped(offset) => log::info!("event=snapshot_skipped offset={offset}"),
     }
 }
 
--- a/crates/ochreyard-lead/src/leader/round.rs
+++ b/crates/ochreyard-lead/src/leader/round.rs
@@ -121,7 +121,7 @@
                 .extend(sent.zip(response.outcomes).map(|((to, order), outcome)| (*to, order.clone(), outcome)));
             held_experts[rank] = response.held_experts;
             if response.selection_counts.is_some_and(|counts| !counts.add_to(&mut selections)) {
-                log::warn!("event=counts_unreadable group={} rank={rank}", self.members.group);
+                log::warn!("event=selection_counts_invalid group={} rank={rank}", self.members.group);
             }
         }
         self.apply_held_experts(&held_experts);
--- a/crates/ochreyard-rank/src/agent.rs
+++ b/crates/ochreyard-rank/src/agent.rs
@@ -122,7 +122,7 @@
         match result {
             Ok(value) => {
                 if !was_reachable {
-                    log::info!("event=engine_regained addr={}", self.engine_addr);
+                    log::info!("event=engine_reachable_again addr={}", self.engine_addr);
                 }
                 Some(value)
             }
--- a/crates/ochreyard-rank/src/serve.rs
+++ b/crates/ochreyard-rank/src/serve.rs
@@ -35,7 +35,7 @@
     let mut hangup = signal(SignalKind::hangup()).into_diagnostic()?;
     tokio::select! {
         result = stop_signal() => result.into_diagnostic()?,
-        () = async { while hangup.recv().await.is_some() { log::info!("event=reload_noted"); } } => {}
+        () = async { while hangup.recv().await.is_some() { log::info!("event=reload_ignored"); } } => {}
     }
     log::info!("event=agent_stopped");
     Ok(())
--- a/crates/ochreyard-rank/src/server.rs
+++ b/crates/ochreyard-rank/src/server.rs
@@ -34,7 +34,7 @@
         let agent = Rc::clone(&agent);
         tokio::task::spawn_local(async move {
             if let Err(error) = set_socket_options(&stream) {
-                log::debug!("event=tune_refused error=\"{error}\"");
+                log::debug!("event=socket_options_failed error=\"{error}\"");
             }
             let service = service_fn(move |request| {
                 let agent = Rc::clone(&agent);
@@ -65,7 +65,7 @@
     let leader_request: LeaderRequest = match serde_json::from_slice(&body.to_bytes()) {
         Ok(leader_request) => leader_request,
         Err(error) => {
-            log::warn!("event=ask_unreadable error=\"{error}\"");
+            log::warn!("event=leader_request_unreadable error=\"{error}\"");
             return status_only(StatusCode::BAD_REQUEST);
         }
     };
@@ -76,7 +76,7 @@
     match serde_json::to_vec(body) {
         Ok(bytes) => Response::new(Full::from(bytes)),
         Err(error) => {
-            log::error!("event=answer_unwritable error=\"{error}\"");
+            log::error!("event=response_encode_failed error=\"{error}\"");
             status_only(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
