--- a/crates/ochreyard-peer/schema/agent.capnp
+++ b/crates/ochreyard-peer/schema/agent.capnp
@@ -1,5 +1,5 @@
 @0xb5c1d3a0f0e24c71;
-# The link between an entry and an agent. `scripts/generate` makes src/agent_capnp.rs from it.
+# RPC interfaces between entries and agents, and among entries. `scripts/generate` generates src/agent_capnp.rs.
 
 struct AttemptId {
   entry @0 :UInt64;
@@ -9,10 +9,10 @@
 
 struct Offer {
   attempt @0 :AttemptId;
-  to @1 :UInt64;            # life of the agent that is meant
+  to @1 :UInt64;            # incarnation of the agent that the offer is addressed to
   workspace @2 :Text;
   service @3 :Text;
-  key @4 :Text;             # empty when there is none
+  key @4 :Text;             # idempotency key; empty if there is none
   fingerprint @5 :UInt64;
   repeatable @6 :Bool;
   cost @7 :UInt64;
@@ -21,13 +21,13 @@
 
 struct Request {
   method @0 :Text;
-  path @1 :Text;            # with the query
+  path @1 :Text;            # path and query
   contentType @2 :Text;
   body @3 :Data;
 }
 
 struct Refusal {
-  kind @0 :Text;            # a name from the closed list of error kinds
+  kind @0 :Text;            # name of an error kind; the set of kinds is fixed
   run @1 :Text;
   retryAfterMs @2 :UInt64;
   detail @3 :Text;
@@ -63,20 +63,20 @@
 }
 
 interface FrameSink {
-  # The answer comes when the frame has been taken: that is the back-pressure.
+  # Returns once the receiver has accepted the frame, which provides back-pressure.
   push @0 (frame :Frame) -> ();
 }
 
 interface Agent {
-  # `tailVersion` is the version at the end of the log, read after the agent's
-  # life `verifiedFor` was met; 0 when no such read has been made.
+  # `tailVersion` is the configuration version at the end of the log, from a read that began
+  # after the first report of the agent's incarnation `verifiedFor`; 0 if there was no such read.
   heartbeat @0 (entry :Text, verifiedFor :UInt64, tailVersion :UInt64) -> (report :Report);
   configure @1 (state :Data) -> (version :UInt64);
   call @2 (offer :Offer, request :Request, sink :FrameSink) -> (refused :Bool, refusal :Refusal);
   cancel @3 (attempt :AttemptId) -> ();
   revoke @4 (attempt :AttemptId, to :UInt64) -> (answer :RevokeAnswer);
-  # What changed since the version that the agent reported. The answer is the
-  # version in force; an older one than wanted asks for the whole state.
+  # Sends the changes since the version that the agent reported. Returns the version in force
+  # at the agent; if it is older than the delta's, the agent needs the complete configuration.
   extend @5 (delta :Data) -> (version :UInt64);
 }
 
@@ -91,6 +91,6 @@
 }
 
 interface EntryDoor {
-  # The configuration that this entry has in force; empty when it has none.
+  # Returns the configuration in force at this entry; empty if there is none.
   state @0 (token :Text) -> (state :Data);
 }
